--- a/lavenderkeel/forward/draw_relay.h
+++ b/lavenderkeel/forward/draw_relay.h
@@ -12,82 +12,83 @@
 
 namespace lavenderkeel {
 
-/// Units drawn since an entry's start, by the hash of the team's name.
+/// Units used since an entry's start, by the hash of the team's name.
 using DrawTotals = std::vector<std::pair<uint64_t, double>>;
 
-/// What a coordinator passes on of the draws that entries report to it.
+/// Usage that a coordinator relays between the entries that report to it.
 ///
-/// Entries that are no coordinators hear of each other's draws through one
-/// coordinator each, which adds them up: a report is as long as the list of
-/// teams, however many entries there are. The sums only grow, so what a broken
-/// connection lost is in the next whole report.
+/// Entries that are not coordinators receive each other's usage through one
+/// coordinator each, which adds it up: a report is as long as the list of
+/// teams, however many entries there are. The sums only grow, so what was lost
+/// with a connection is in the next full report.
 class DrawRelay {
  public:
-  /// @param passes_on this coordinator speaks for the entry now. What the entry
-  ///     drew before its first report here, or while another spoke for it, is
+  /// @param is_relay whether this coordinator relays for the entry now; usage
+  ///     before the entry's first report here, or while another one relayed, is
   ///     not counted
-  void OnTotals(const PeerId& entry, const DrawTotals& totals, bool passes_on) {
+  void OnTotals(const PeerId& entry, const DrawTotals& totals, bool is_relay) {
     const auto [position, inserted] = entries_.try_emplace(entry.instance);
-    Entry& from = position->second;
-    const bool first = inserted || from.incarnation != entry.incarnation;
-    if (first) {
-      from = {.incarnation = entry.incarnation, .teams = {}};
+    Entry& source = position->second;
+    const bool is_first = inserted || source.incarnation != entry.incarnation;
+    if (is_first) {
+      source = {.incarnation = entry.incarnation, .teams = {}};
     }
     for (const auto& [team, total] : totals) {
-      Part& part = from.teams[team];
-      const double drawn = total - part.heard;
-      if (drawn <= 0) {
+      TeamUsage& team_usage = source.teams[team];
+      const double new_usage = total - team_usage.reported;
+      if (new_usage <= 0) {
         continue;
       }
-      part.heard = total;
-      if (passes_on && !first) {
-        part.passed_on += drawn;
-        sums_[team] += drawn;
-        changed_.insert(team);
+      team_usage.reported = total;
+      if (is_relay && !is_first) {
+        team_usage.relayed += new_usage;
+        relayed_sums_[team] += new_usage;
+        changed_teams_.insert(team);
       }
     }
   }
 
-  /// For one entry, which counts its own draws itself.
-  /// @param all or only the teams whose sums changed since the last EndRound
+  /// Totals for one entry, without its own usage, which it counts itself.
+  /// @param all whether to include teams unchanged since the last EndRound
   DrawTotals For(const PeerId& entry, bool all) const {
     DrawTotals totals;
-    for (const auto& [team, sum] : sums_) {
-      if (all || changed_.contains(team)) {
-        totals.emplace_back(team, sum - PassedOn(entry, team));
+    for (const auto& [team, sum] : relayed_sums_) {
+      if (all || changed_teams_.contains(team)) {
+        totals.emplace_back(team, sum - Relayed(entry, team));
       }
     }
     return totals;
   }
 
-  /// Everyone was told of the changes.
-  void EndRound() { changed_.clear(); }
+  /// Clears the set of changes, after all entries received them.
+  void EndRound() { changed_teams_.clear(); }
 
  private:
-  struct Part {
-    double heard = 0;
-    double passed_on = 0;
+  struct TeamUsage {
+    double reported = 0;
+    double relayed = 0;
   };
-  /// Kept while the entry is lost: it may only have been cut off, and what was
-  /// passed on for it must still be left out of what it is told.
+  /// Kept while the entry is lost: if it was only disconnected, the usage
+  /// relayed for it must still be excluded from its totals.
   struct Entry {
     uint64_t incarnation = 0;
-    std::map<uint64_t, Part> teams;
+    std::map<uint64_t, TeamUsage> teams;
   };
 
-  double PassedOn(const PeerId& entry, uint64_t team) const {
+  double Relayed(const PeerId& entry, uint64_t team) const {
     const auto found = entries_.find(entry.instance);
     if (found == entries_.end() ||
         found->second.incarnation != entry.incarnation) {
       return 0;
     }
-    const auto part = found->second.teams.find(team);
-    return part == found->second.teams.end() ? 0 : part->second.passed_on;
+    const auto team_usage = found->second.teams.find(team);
+    return team_usage == found->second.teams.end() ? 0
+                                                   : team_usage->second.relayed;
   }
 
   std::map<std::string, Entry> entries_;
-  std::map<uint64_t, double> sums_;
-  std::set<uint64_t> changed_;
+  std::map<uint64_t, double> relayed_sums_;
+  std::set<uint64_t> changed_teams_;
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/forward/high_quantile.h
+++ b/lavenderkeel/forward/high_quantile.h
@@ -3,9 +3,8 @@
 
 namespace lavenderkeel {
 
-/// The value that some six in seven of the latest samples lie below, for
-/// figures above zero: what something takes when it takes long, but not
-/// extraordinarily long.
+/// Estimate of the value that some six in seven of the latest samples lie
+/// below, for positive values: a high duration that is not an outlier.
 class HighQuantile {
  public:
   void Add(double sample) {
@@ -14,7 +13,7 @@
       empty_ = false;
       return;
     }
-    value_ *= sample > value_ ? kUp : kDown;
+    value_ *= sample > value_ ? kUpFactor : kDownFactor;
   }
   /// Zero before the first sample.
   double value() const { return value_; }
@@ -22,9 +21,10 @@
 
  private:
   /// In balance where 0.15 of the samples are above: ln(1 / 0.98) against
-  /// ln(1.12 / 0.98). Some six samples double it, thirty-five halve it.
-  static constexpr double kUp = 1.12;
-  static constexpr double kDown = 0.98;
+  /// ln(1.12 / 0.98). Some six samples above double the value, thirty-five
+  /// below halve it.
+  static constexpr double kUpFactor = 1.12;
+  static constexpr double kDownFactor = 0.98;
 
   double value_ = 0;
   bool empty_ = true;
--- a/lavenderkeel/forward/long_requests.h
+++ b/lavenderkeel/forward/long_requests.h
@@ -5,51 +5,52 @@
 
 namespace lavenderkeel {
 
-/// Whether the long requests of a route leave their place in the line to
-/// shorter ones.
+/// Decides whether the long requests of a route are queued behind shorter ones.
 ///
-/// Load it answers: a burst beyond the capacity, of answers whose lengths
-/// differ hundredfold. One request in fifteen holds a slot for as long as half
-/// of all others together; where these few go last, as many clients again are
-/// served in time. But their clients wait for an answer too, so they go last
-/// only while nearly as many of them get a slot as of all.
+/// In a burst beyond the capacity, with answers whose lengths differ
+/// hundredfold, one request in fifteen holds a slot for as long as half of all
+/// others together. Where these few go last, twice as many clients are served
+/// in time. Their clients wait for an answer too, so long requests go last only
+/// while nearly as many of them get a slot as of all requests.
 class LongRequests {
  public:
   struct Options {
-    /// Long requests go last while this part of the chance of all to get a slot
-    /// is left to them. Half would be unfair to them beyond doubt, and some of
-    /// those that get a slot are not finished in time besides. With 0.6 the
+    /// Long requests go last unless the fraction of them that gets a slot falls
+    /// below this ratio to that of all requests. Half would clearly be unfair,
+    /// and some that get a slot are not finished in time. With 0.6 the
     /// worst-served kind and size of request got 0.43 of what it asks for on
-    /// the heaviest day of 26 entries before 47 servers, with this 0.49.
-    double least_part_of_chance = 0.85;
+    /// the heaviest day of 26 entries and 47 servers, with this value 0.49.
+    double min_relative_granted_fraction = 0.85;
   };
 
   LongRequests() = default;
   explicit LongRequests(Options options) : options_(options) {}
 
-  /// A request got its first slot, or went without one.
+  /// Records that a request got its first slot, or ended without one.
   void OnEndOfWait(bool is_long, bool got_slot) {
     const double sample = got_slot ? 1 : 0;
-    all_.Add(sample);
+    granted_fraction_.Add(sample);
     if (is_long) {
-      long_.Add(sample);
+      long_granted_fraction_.Add(sample);
     }
   }
 
   bool GoLast() const {
-    return long_.empty() ||
-           long_.mean() >= options_.least_part_of_chance * all_.mean();
+    return long_granted_fraction_.empty() ||
+           long_granted_fraction_.mean() >=
+               options_.min_relative_granted_fraction *
+                   granted_fraction_.mean();
   }
 
  private:
-  /// A burst lasts some seconds. Of all requests a hundred come in that time
-  /// at an entry, of the long ones some ten.
-  static constexpr double kSamplePartOfAll = 0.02;
-  static constexpr double kSamplePartOfLong = 0.1;
+  /// A burst lasts some seconds, in which an entry receives a hundred requests,
+  /// some ten of them long.
+  static constexpr double kSampleWeight = 0.02;
+  static constexpr double kLongSampleWeight = 0.1;
 
   Options options_;
-  MovingMean all_{kSamplePartOfAll};
-  MovingMean long_{kSamplePartOfLong};
+  MovingMean granted_fraction_{kSampleWeight};
+  MovingMean long_granted_fraction_{kLongSampleWeight};
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/forward/moving_mean.h
+++ b/lavenderkeel/forward/moving_mean.h
@@ -3,13 +3,13 @@
 
 namespace lavenderkeel {
 
-/// A mean that forgets: each sample moves it by a fixed part.
+/// Exponential moving average with a fixed weight per sample.
 class MovingMean {
  public:
-  explicit MovingMean(double part) : part_(part) {}
+  explicit MovingMean(double sample_weight) : sample_weight_(sample_weight) {}
 
   void Add(double sample) {
-    mean_ = empty_ ? sample : mean_ + part_ * (sample - mean_);
+    mean_ = empty_ ? sample : mean_ + sample_weight_ * (sample - mean_);
     empty_ = false;
   }
   /// Zero before the first sample.
@@ -17,7 +17,7 @@
   bool empty() const { return empty_; }
 
  private:
-  double part_;
+  double sample_weight_;
   double mean_ = 0;
   bool empty_ = true;
 };
--- a/lavenderkeel/forward/placement.cc
+++ b/lavenderkeel/forward/placement.cc
@@ -13,39 +13,39 @@
 
 namespace {
 
-/// Makes a server a last resort: any other is better.
-constexpr double kLastResort = 1000;
+/// Cost factor of a server that is chosen only if there is no other.
+constexpr double kLastResortCostFactor = 1000;
 
-/// Makes a server worse than any sound one, however slow.
-constexpr double kEndangered = 30;
+/// Cost factor of a server with a crash risk; exceeds any difference in speed.
+constexpr double kRiskyCostFactor = 30;
 
 const ServerLoad* FindLoad(const ServerLoads& loads, const std::string& id) {
   const auto found = loads.find(id);
   return found == loads.end() ? nullptr : &found->second;
 }
 
-/// What a server has shown of its speed.
-using Measure = std::optional<double> (ServerSpeed::*)() const;
+/// Accessor of a measured speed.
+using SpeedGetter = std::optional<double> (ServerSpeed::*)() const;
 
-/// A server that may be used, with what is known of it; looked up once.
-struct Known {
+/// Usable server and its state, looked up once.
+struct KnownServer {
   const BackendServer* server = nullptr;
   std::string key;
   uint64_t hash = 0;
-  /// Null before the first end of an attempt.
+  /// Null before the first attempt at the server ends.
   const ServerLoad* load = nullptr;
 };
 
-/// The middle of what servers have shown, which stands for one that has no
-/// sample yet.
-std::optional<double> Typical(const std::vector<Known>& servers,
-                              Measure measure) {
+/// Median over the servers that have a sample; stands in for those that have
+/// none.
+std::optional<double> MedianOf(const std::vector<KnownServer>& servers,
+                               SpeedGetter getter) {
   std::vector<double> samples;
-  for (const Known& known : servers) {
+  for (const KnownServer& known : servers) {
     if (known.load == nullptr) {
       continue;
     }
-    if (const std::optional<double> sample = (known.load->speed().*measure)()) {
+    if (const std::optional<double> sample = (known.load->speed().*getter)()) {
       samples.push_back(*sample);
     }
   }
@@ -58,32 +58,34 @@
   return *middle;
 }
 
-/// @param typical zero if no server has shown anything
-double Shown(const ServerLoad* load, Measure measure, double typical) {
-  return load == nullptr ? typical
-                         : (load->speed().*measure)().value_or(typical);
+/// @param fallback zero if no server has a sample
+double MeasuredOr(const ServerLoad* load, SpeedGetter getter, double fallback) {
+  return load == nullptr ? fallback
+                         : (load->speed().*getter)().value_or(fallback);
 }
 
 }  // namespace
 
-int Placement::Places(const BackendServer& server, bool model_server) const {
+int Placement::CapacityOf(const BackendServer& server,
+                          bool model_server) const {
   const double per_slot =
       model_server ? options_.places_per_slot : options_.places_per_plain_slot;
   return std::max(1, static_cast<int>(std::lround(server.slots * per_slot)));
 }
 
-double Placement::CostOf(const BackendServer& server,
-                         const std::string& start_key,
-                         double pace,
-                         bool unconfirmed) const {
-  double cost = pace;
+double Placement::BaseCost(const BackendServer& server,
+                           const std::string& start_key,
+                           double relative_pace,
+                           bool unconfirmed) const {
+  double cost = relative_pace;
   if (server.data_centre != options_.data_centre) {
     cost *= 1 + options_.other_data_centre_cost;
   }
   constexpr uint64_t kSteps = 1024;
-  const uint64_t lot = HashBytes(start_key, HashBytes(options_.entry)) % kSteps;
-  cost *= 1 + options_.spread * static_cast<double>(lot) / kSteps;
-  return unconfirmed ? cost * kLastResort : cost;
+  const uint64_t rank =
+      HashBytes(start_key, HashBytes(options_.entry)) % kSteps;
+  cost *= 1 + options_.entry_cost_spread * static_cast<double>(rank) / kSteps;
+  return unconfirmed ? cost * kLastResortCostFactor : cost;
 }
 
 Placement::Candidates Placement::Find(const std::string& service,
@@ -93,11 +95,11 @@
                                       const ServerLoads& loads,
                                       const SlotOccupancy& occupancy,
                                       TimePoint now) const {
-  std::vector<Known> servers;
+  std::vector<KnownServer> servers;
   for (const BackendServer* server : directory.Usable(service)) {
     std::string key = server->start_key();
     const uint64_t hash = HashBytes(key);
-    if (group.Has(hash)) {
+    if (group.Contains(hash)) {
       const ServerLoad* load = FindLoad(loads, key);
       servers.push_back({.server = server,
                          .key = std::move(key),
@@ -105,142 +107,151 @@
                          .load = load});
     }
   }
-  // Crashed servers always have places, so requests would run through them and
-  // be given up while the rest are full. While one server of a version is sound
-  // the others are left alone.
-  const auto resting = [&](const Known& known) {
-    return known.load != nullptr && known.load->resting(now);
+  // Crashed servers always have free capacity, so they would attract requests
+  // and fail them while the others are full. Servers in backoff are excluded
+  // while one of the same version is healthy.
+  const auto is_in_backoff = [&](const KnownServer& known) {
+    return known.load != nullptr && known.load->IsInBackoff(now);
   };
-  std::set<std::string_view> sound;
-  for (const Known& known : servers) {
-    if (!resting(known)) {
-      sound.insert(known.server->version);
+  std::set<std::string_view> healthy_versions;
+  for (const KnownServer& known : servers) {
+    if (!is_in_backoff(known)) {
+      healthy_versions.insert(known.server->version);
     }
   }
-  std::erase_if(servers, [&](const Known& known) {
-    return resting(known) && sound.contains(known.server->version);
+  std::erase_if(servers, [&](const KnownServer& known) {
+    return is_in_backoff(known) &&
+           healthy_versions.contains(known.server->version);
   });
-  const double typical_pace = Typical(servers, &ServerSpeed::pace).value_or(0);
-  const double typical_read =
-      Typical(servers, &ServerSpeed::read_ms_per_token).value_or(0);
+  const double median_pace_ms =
+      MedianOf(servers, &ServerSpeed::pace_ms).value_or(0);
+  const double median_read_ms_per_token =
+      MedianOf(servers, &ServerSpeed::read_ms_per_token).value_or(0);
   Candidates candidates;
-  for (const Known& known : servers) {
-    const double pace = Shown(known.load, &ServerSpeed::pace, typical_pace);
-    const double relative_pace = typical_pace > 0 ? pace / typical_pace : 1;
+  for (const KnownServer& known : servers) {
+    const double pace_ms =
+        MeasuredOr(known.load, &ServerSpeed::pace_ms, median_pace_ms);
+    const double relative_pace =
+        median_pace_ms > 0 ? pace_ms / median_pace_ms : 1;
     const Candidate candidate = {
         .server = known.server,
         .hash = known.hash,
-        .cost = CostOf(*known.server, known.key, relative_pace,
-                       directory.IsUnconfirmed(known.key)),
-        .in_flight = occupancy.At(known.hash),
-        .places = Places(*known.server, model_server),
-        .pace_ms = pace,
+        .cost = BaseCost(*known.server, known.key, relative_pace,
+                         directory.IsUnconfirmed(known.key)),
+        .in_flight = occupancy.InFlight(known.hash),
+        .capacity = CapacityOf(*known.server, model_server),
+        .pace_ms = pace_ms,
         .read_ms_per_token =
-            Shown(known.load, &ServerSpeed::read_ms_per_token, typical_read)};
-    candidates.free += std::max(0, candidate.places - candidate.in_flight);
-    candidates.places += candidate.places;
+            MeasuredOr(known.load, &ServerSpeed::read_ms_per_token,
+                       median_read_ms_per_token)};
+    candidates.free += std::max(0, candidate.capacity - candidate.in_flight);
+    candidates.capacity += candidate.capacity;
     candidates.servers.push_back(candidate);
   }
   return candidates;
 }
 
-Placement::Fit Placement::FitOf(const SlotAsk& ask,
+Placement::Fit Placement::FitOf(const SlotAsk& request,
                                 const Candidate& candidate,
                                 TimePoint now) const {
-  const double read_ms = ask.size.prompt_tokens * candidate.read_ms_per_token;
-  const double run_ms = read_ms + ask.size.events * candidate.pace_ms;
-  const double left_ms = ToFractionalMilliseconds(ask.due - now);
-  if (run_ms > options_.longest_part_of_time_left * left_ms) {
+  const double read_ms =
+      request.size.prompt_tokens * candidate.read_ms_per_token;
+  const double run_ms = read_ms + request.size.events * candidate.pace_ms;
+  const double left_ms = ToFractionalMilliseconds(request.due - now);
+  if (run_ms > options_.max_fraction_of_time_left * left_ms) {
     return Fit::kTooSlow;
   }
-  const double gap_ms = ToFractionalMilliseconds(ask.event_gap_target);
+  const double gap_ms = ToFractionalMilliseconds(request.event_gap_target);
   const bool stalls = gap_ms > 0 && candidate.in_flight > 0 &&
-                      read_ms > options_.stall_part_of_gap * gap_ms;
-  return stalls ? Fit::kStalls : Fit::kGood;
+                      read_ms > options_.stall_fraction_of_gap * gap_ms;
+  return stalls ? Fit::kStallsStreams : Fit::kGood;
 }
 
-double Placement::CostFor(const SlotAsk& ask,
-                          const Candidate& candidate,
-                          const SuspectRuns& suspects) const {
-  double cost = candidate.cost * (1 + options_.full_cost * candidate.in_flight /
-                                          candidate.places);
-  // Where this request failed before comes last of all.
-  if (std::ranges::find(ask.tried, candidate.hash) != ask.tried.end()) {
-    cost *= kLastResort * kLastResort;
+double Placement::CostWithLoad(const SlotAsk& request,
+                               const Candidate& candidate,
+                               const SuspectRuns& suspects) const {
+  double cost =
+      candidate.cost * (1 + options_.full_server_cost * candidate.in_flight /
+                                candidate.capacity);
+  // A server at which this request failed before is the last choice of all.
+  if (std::ranges::find(request.tried, candidate.hash) != request.tried.end()) {
+    cost *= kLastResortCostFactor * kLastResortCostFactor;
   }
-  if (suspects.Endangers(candidate.hash, ask.standing)) {
-    cost *= kEndangered;
+  if (suspects.ShouldAvoid(candidate.hash, request.standing)) {
+    cost *= kRiskyCostFactor;
   }
-  // Whatever runs there is lost with the server.
-  if (ask.standing >= CrashStanding::kDoubtful) {
+  // If this request crashes the server, all requests there are lost.
+  if (request.standing >= CrashStanding::kDoubtful) {
     cost *= 1 + candidate.in_flight;
   }
   return cost;
 }
 
-bool Placement::Suits(const std::string& version, const Candidate& candidate) {
+bool Placement::MatchesVersion(const std::string& version,
+                               const Candidate& candidate) {
   return version.empty() || candidate.server->version == version;
 }
 
-Placement::Candidate* Placement::ChooseCanary(const SlotAsk& ask,
+Placement::Candidate* Placement::ChooseCanary(const SlotAsk& request,
                                               Candidates& candidates,
                                               const SuspectRuns& suspects,
                                               TimePoint now) const {
-  if (ask.canary_version.empty()) {
+  if (request.canary_version.empty()) {
     return nullptr;
   }
-  // One server is filled before the next gets any: a version that is bad under
-  // load only would pass on servers that are nearly empty.
-  const auto turn =
-      static_cast<uint64_t>(now.time_since_epoch() / options_.canary_turn);
+  // Fills one server before the next gets any requests: a version that fails
+  // under load only would pass on nearly empty servers.
+  const auto period = static_cast<uint64_t>(now.time_since_epoch() /
+                                            options_.canary_server_period);
   Candidate* best = nullptr;
-  uint64_t best_lot = 0;
+  uint64_t best_rank = 0;
   for (Candidate& candidate : candidates.servers) {
-    if (!Suits(ask.canary_version, candidate)) {
+    if (!MatchesVersion(request.canary_version, candidate)) {
       continue;
     }
-    if (candidate.in_flight >= candidate.places ||
-        FitOf(ask, candidate, now) == Fit::kTooSlow ||
-        !suspects.Admits(candidate.hash, ask.standing)) {
+    if (candidate.in_flight >= candidate.capacity ||
+        FitOf(request, candidate, now) == Fit::kTooSlow ||
+        !suspects.Admits(candidate.hash, request.standing)) {
       continue;
     }
-    const uint64_t lot = HashBytes(candidate.server->id, turn);
-    if (best == nullptr || lot < best_lot) {
+    const uint64_t rank = HashBytes(candidate.server->id, period);
+    if (best == nullptr || rank < best_rank) {
       best = &candidate;
-      best_lot = lot;
+      best_rank = rank;
     }
   }
   return best;
 }
 
-Placement::Candidate* Placement::Choose(const SlotAsk& ask,
+Placement::Candidate* Placement::Choose(const SlotAsk& request,
                                         bool late,
                                         Candidates& candidates,
                                         const SuspectRuns& suspects,
                                         TimePoint now) const {
-  if (Candidate* canary = ChooseCanary(ask, candidates, suspects, now)) {
+  if (Candidate* canary = ChooseCanary(request, candidates, suspects, now)) {
     return canary;
   }
-  Fit wanted = Fit::kTooSlow;
+  Fit worst_accepted_fit = Fit::kTooSlow;
   for (Candidate& candidate : candidates.servers) {
-    if (!Suits(ask.version, candidate)) {
+    if (!MatchesVersion(request.version, candidate)) {
       continue;
     }
-    candidate.fit = FitOf(ask, candidate, now);
-    wanted = std::min(wanted, candidate.fit);
+    candidate.fit = FitOf(request, candidate, now);
+    worst_accepted_fit = std::min(worst_accepted_fit, candidate.fit);
   }
   if (late) {
-    wanted = std::max(wanted, Fit::kStalls);
+    worst_accepted_fit = std::max(worst_accepted_fit, Fit::kStallsStreams);
   }
   Candidate* best = nullptr;
   double best_cost = 0;
   for (Candidate& candidate : candidates.servers) {
-    if (!Suits(ask.version, candidate) ||
-        candidate.in_flight >= candidate.places || candidate.fit > wanted ||
-        !suspects.Admits(candidate.hash, ask.standing)) {
+    if (!MatchesVersion(request.version, candidate) ||
+        candidate.in_flight >= candidate.capacity ||
+        candidate.fit > worst_accepted_fit ||
+        !suspects.Admits(candidate.hash, request.standing)) {
       continue;
     }
-    const double cost = CostFor(ask, candidate, suspects);
+    const double cost = CostWithLoad(request, candidate, suspects);
     if (best == nullptr || cost < best_cost) {
       best = &candidate;
       best_cost = cost;
--- a/lavenderkeel/forward/placement.h
+++ b/lavenderkeel/forward/placement.h
@@ -13,79 +13,81 @@
 
 namespace lavenderkeel {
 
-/// Speed and health by server id.
+/// Speed and health by start key.
 using ServerLoads = std::map<std::string, ServerLoad>;
 
-/// Chooses the backend server for a request among those with a free place.
+/// Chooses the backend server for a request among those with free capacity.
 ///
-/// Load it answers: servers of one service differ in speed by a factor of four
-/// and some are in another data centre.
+/// Servers of one service differ in speed by a factor of four, and some are in
+/// another data centre.
 class Placement {
  public:
   struct Options {
     std::string entry;
     std::string data_centre;
-    /// Requests in flight at a server per slot, over all entries. Beyond the
-    /// slots a model server queues first come, first served, so urgent work
-    /// would wait behind the rest.
+    /// Capacity of a model server: requests in flight per slot, over all
+    /// entries. Beyond its slots a model server queues first come, first
+    /// served, so urgent requests would wait behind the rest.
     double places_per_slot = 1.0;
-    /// The same at a plain service, whose requests last some 30 ms: one waiting
-    /// behind each slot hides the round trip to the next.
+    /// The same for a plain service, whose requests last some 30 ms: one
+    /// waiting request per slot hides the round trip to the next one.
     double places_per_plain_slot = 2.0;
-    /// What another data centre adds to the cost, as a part. Its price and its
-    /// round trip of 2 ms are small beside a request, so it decides ties only.
+    /// Additional relative cost of another data centre. Its price and its round
+    /// trip of 2 ms are small compared to a request, so it decides ties only.
     double other_data_centre_cost = 0.05;
-    /// How much a full server costs beside an empty one, as a part: a batch of
+    /// Additional relative cost of a full server over an empty one: a batch of
     /// full size makes each token some 10% slower.
-    double full_cost = 0.25;
-    /// Spread between entries, so that they don't all take the same server in
-    /// one heartbeat.
-    double spread = 0.1;
-    /// A server is too slow for a request that would take this part of the time
-    /// it has left. Estimates of length are right at the median only.
-    double longest_part_of_time_left = 1.0;
-    /// A prompt stalls the streams beside it if reading it takes this part of
-    /// the pause that clients find fluent.
-    double stall_part_of_gap = 0.8;
-    /// After this time requests for a new version go to others of its servers.
-    Duration canary_turn = std::chrono::milliseconds(500);
+    double full_server_cost = 0.25;
+    /// Relative cost difference between entries, so that they do not all choose
+    /// the same server within one heartbeat.
+    double entry_cost_spread = 0.1;
+    /// A server is too slow for a request that would take more than this
+    /// fraction of the time left. Length estimates are right at the median
+    /// only.
+    double max_fraction_of_time_left = 1.0;
+    /// A prompt stalls other streams if reading it takes more than this
+    /// fraction of the pause that clients accept as fluent.
+    double stall_fraction_of_gap = 0.8;
+    /// After this time requests for a canary version go to another of its
+    /// servers.
+    Duration canary_server_period = std::chrono::milliseconds(500);
   };
 
-  /// How a server suits a request, best first.
+  /// Suitability of a server for a request, best first.
   enum class Fit {
     kGood,
-    /// While it reads the prompt, the streams that run there pause for longer
-    /// than their clients find fluent.
-    kStalls,
-    /// The client's time is over before the answer is.
+    /// While the server reads the prompt, its running streams pause for longer
+    /// than their clients accept as fluent.
+    kStallsStreams,
+    /// The client's deadline passes before the answer is complete.
     kTooSlow,
   };
 
-  /// A server that may get a request now.
+  /// Server that may get a request now.
   struct Candidate {
     const BackendServer* server = nullptr;
     uint64_t hash = 0;
-    /// Speed and distance, without load; see Choose.
+    /// Relative cost by speed and distance, without load; see Choose.
     double cost = 1;
     int in_flight = 0;
-    int places = 1;
-    /// Between two events of a stream, and for each token of a prompt; zero if
-    /// not known.
+    int capacity = 1;
+    /// Time between two events of a stream, and time per prompt token; zero if
+    /// unknown.
     double pace_ms = 0;
     double read_ms_per_token = 0;
-    /// For the request that Choose looked at last.
+    /// For the request that was last passed to Choose.
     Fit fit = Fit::kGood;
   };
 
-  /// The sound servers of a group. Made once for a line of wishes, since a
-  /// burst has hundreds of them and an entry as little as a tenth of a core.
+  /// Servers of a group that may get requests. Computed once per queue: a burst
+  /// has hundreds of requests and an entry as little as a tenth of a core.
   struct Candidates {
     std::vector<Candidate> servers;
     int free = 0;
-    int places = 0;
+    int capacity = 0;
 
-    /// One more request goes to the server.
-    void Take(Candidate& candidate) {
+    /// Counts one more request at the server.
+    void AddRequest(Candidate& candidate) {
       ++candidate.in_flight;
       --free;
     }
@@ -101,36 +103,37 @@
                   const SlotOccupancy& occupancy,
                   TimePoint now) const;
 
-  /// @param late the request can't be in time any more
-  /// @return the best of the candidates with a free place that suit the
-  ///     request, or null
-  Candidate* Choose(const SlotAsk& ask,
+  /// @param late whether the request can no longer be in time
+  /// @return the best candidate with free capacity that fits the request, or
+  ///     null
+  Candidate* Choose(const SlotAsk& request,
                     bool late,
                     Candidates& candidates,
                     const SuspectRuns& suspects,
                     TimePoint now) const;
 
  private:
-  Fit FitOf(const SlotAsk& ask,
+  Fit FitOf(const SlotAsk& request,
             const Candidate& candidate,
             TimePoint now) const;
-  /// Whether a request for that version, or any, may run there.
-  static bool Suits(const std::string& version, const Candidate& candidate);
-  /// A server of the version that goes first for this request, or null.
-  Candidate* ChooseCanary(const SlotAsk& ask,
+  /// Whether the candidate has the version; an empty one matches any.
+  static bool MatchesVersion(const std::string& version,
+                             const Candidate& candidate);
+  /// @return a server of the request's canary version, or null
+  Candidate* ChooseCanary(const SlotAsk& request,
                           Candidates& candidates,
                           const SuspectRuns& suspects,
                           TimePoint now) const;
-  int Places(const BackendServer& server, bool model_server) const;
-  /// With the load, and with what the request and those there may do to each
-  /// other.
-  double CostFor(const SlotAsk& ask,
-                 const Candidate& candidate,
-                 const SuspectRuns& suspects) const;
-  double CostOf(const BackendServer& server,
-                const std::string& start_key,
-                double pace,
-                bool unconfirmed) const;
+  int CapacityOf(const BackendServer& server, bool model_server) const;
+  /// Includes the load, and the crash risk for the request and those at the
+  /// server.
+  double CostWithLoad(const SlotAsk& request,
+                      const Candidate& candidate,
+                      const SuspectRuns& suspects) const;
+  double BaseCost(const BackendServer& server,
+                  const std::string& start_key,
+                  double relative_pace,
+                  bool unconfirmed) const;
 
   Options options_;
 };
--- a/lavenderkeel/forward/rate_share.h
+++ b/lavenderkeel/forward/rate_share.h
@@ -10,76 +10,79 @@
 
 namespace lavenderkeel {
 
-/// The part of every team's rate that one entry may count on.
+/// Share of every team's rate that one entry may use.
 ///
-/// Entries that hear of each other count each other's draws, so each may count
-/// on the whole. What is drawn at entries that are known but not heard of is
-/// left to them.
+/// Entries that receive reports from each other count each other's usage, so
+/// each may use the whole rate. The share of entries that are known but do not
+/// report is left to them.
 class RateShare {
  public:
   struct Options {
-    /// All entries of a fleet that starts anew are connected after this time;
-    /// with 30 entries it took 0.25 s.
+    /// All entries of a newly started fleet are connected after this time; with
+    /// 30 entries it took 0.25 s.
     Duration join_time = std::chrono::milliseconds(500);
-    /// They are connected already where nobody was added for this time: a
-    /// period of reports, and the way of two of them.
-    Duration settled = std::chrono::milliseconds(120);
-    /// How many others there may be while nobody has been heard of.
+    /// The entries count as connected earlier if none was added for this time:
+    /// a report period and the delay of two reports.
+    Duration settle_time = std::chrono::milliseconds(120);
+    /// Assumed number of entries while no other entry reports.
     size_t assumed_entries = 16;
   };
 
-  RateShare(Options options, TimePoint started)
-      : options_(options), started_(started), changed_(started) {}
+  RateShare(Options options, TimePoint start)
+      : options_(options), start_(start), last_change_(start) {}
 
-  /// Entries that are known and those of them that are heard of, this one
+  /// Sets the number of known entries and of those that report, this one
   /// included in both.
-  void OnPeerCount(size_t known, size_t heard, TimePoint now) {
-    assert(known >= heard && heard >= 1);
+  void OnPeerCount(size_t known, size_t reporting, TimePoint now) {
+    assert(known >= reporting && reporting >= 1);
     if (std::exchange(known_, known) != known ||
-        std::exchange(heard_, heard) != heard) {
-      changed_ = now;
+        std::exchange(reporting_, reporting) != reporting) {
+      last_change_ = now;
     }
-    const bool settled = now - changed_ >= options_.settled;
-    joined_ |= heard > 1 && heard == known && settled;
+    const bool is_settled = now - last_change_ >= options_.settle_time;
+    joined_ |= reporting > 1 && reporting == known && is_settled;
   }
 
-  /// An entry that was here before this one is heard of, so that this one joins
-  /// a fleet that counted on.
+  /// An older entry reports, so this one joins a running fleet, which kept
+  /// counting.
   void OnOlderPeer() { joined_ = true; }
 
-  /// This entry does not know yet what the others let through.
-  bool Joining(TimePoint now) const { return !joined_ && now < joined_by(); }
-  /// It is over by then at the latest.
-  TimePoint joined_by() const { return started_ + options_.join_time; }
+  /// Whether this entry does not know the usage of the others yet.
+  bool Joining(TimePoint now) const {
+    return !joined_ && now < join_deadline();
+  }
+  /// Time at which the joining phase is over at the latest.
+  TimePoint join_deadline() const { return start_ + options_.join_time; }
 
-  double At(TimePoint now) const {
+  double ShareAt(TimePoint now) const {
     return Joining(now)
-               ? JoiningPart()
-               : static_cast<double>(heard_) / static_cast<double>(known_);
+               ? JoiningShare()
+               : static_cast<double>(reporting_) / static_cast<double>(known_);
   }
 
-  /// Of what all entries may let through together, this one's while joining.
+  /// This entry's share, while joining, of what all entries together may let
+  /// through.
   ///
-  /// Failure: all entries are killed while a team floods them. Symptom: each
-  /// starts alone and lets the whole rate through until it hears of the others;
-  /// with 30 of them a team got 1.04 times what is tolerated.
-  double JoiningPart() const {
+  /// If all entries are killed while a team overloads them, each starts alone
+  /// and would let the whole rate through until it receives reports of the
+  /// others; with 30 entries a team got 1.04 times what is tolerated.
+  double JoiningShare() const {
     return 1.0 /
            static_cast<double>(std::max(known_, options_.assumed_entries));
   }
 
-  /// How many entries share what all may use together.
+  /// Number of entries that share the limits of the fleet.
   size_t Entries(TimePoint now) const {
     return Joining(now) ? std::max(known_, options_.assumed_entries) : known_;
   }
 
  private:
   Options options_;
-  TimePoint started_;
+  TimePoint start_;
   size_t known_ = 1;
-  size_t heard_ = 1;
-  /// When either did last.
-  TimePoint changed_;
+  size_t reporting_ = 1;
+  /// Time of the last change of either count.
+  TimePoint last_change_;
   bool joined_ = false;
 };
 
--- a/lavenderkeel/forward/retry_window.h
+++ b/lavenderkeel/forward/retry_window.h
@@ -9,19 +9,19 @@
 
 namespace lavenderkeel {
 
-/// Bounds how many second sendings a service gets in any window of time.
+/// Bounds the number of retries for a service in any window of time.
 ///
-/// Failure: a service fails, every entry sends each request again, and the
-/// load on what is left of it doubles. Symptom: an overload that does not end.
-/// Each entry spends only its own part of the bound, counted from its own
-/// requests, so that no agreement between entries is needed.
+/// If a service fails and every entry retries each request, the load on its
+/// remaining servers doubles and the overload does not end. Each entry uses
+/// only its own part of the bound, counted from its own requests, so that
+/// entries need no agreement.
 class RetryWindow {
  public:
   struct Options {
     Duration window = std::chrono::seconds(10);
-    /// Extra sendings per request of the window.
+    /// Retries per request of the window.
     double ratio = 0.2;
-    /// Extra sendings beside these, this entry's part.
+    /// Additional retries, this entry's part.
     double extra = 10;
   };
 
@@ -29,20 +29,20 @@
   explicit RetryWindow(Options options) : options_(options) {}
 
   void OnRequest(TimePoint now) {
-    Forget(now);
-    Count(requests_, now);
+    DropExpired(now);
+    AddTo(requests_, now);
   }
 
-  /// True if one more sending fits, and counts it.
+  /// @return whether one more retry is allowed; counts it if so
   bool TryRetry(TimePoint now) {
-    Forget(now);
-    const double bound =
-        kCountedPart * options_.ratio * static_cast<double>(Sum(requests_)) +
-        options_.extra;
-    if (static_cast<double>(Sum(retries_)) + 1 > bound) {
+    DropExpired(now);
+    const double bound = kCountedFraction * options_.ratio *
+                             static_cast<double>(TotalOf(requests_)) +
+                         options_.extra;
+    if (static_cast<double>(TotalOf(retries_)) + 1 > bound) {
       return false;
     }
-    Count(retries_, now);
+    AddTo(retries_, now);
     return true;
   }
 
@@ -55,14 +55,14 @@
   };
   using Buckets = std::deque<Bucket>;
 
-  /// Whoever checks the bound slides its window: where traffic just stopped,
-  /// it may see a quarter fewer requests beside the same retries.
-  static constexpr double kCountedPart = 0.75;
+  /// A check of the bound may use any window: where traffic has just stopped,
+  /// it may contain a quarter fewer requests with the same retries.
+  static constexpr double kCountedFraction = 0.75;
 
-  /// Fine enough that a window is met within 5%, at 20 buckets of state.
+  /// Keeps a window within 5% of its length, at 20 buckets of state.
   static constexpr int kBucketsPerWindow = 20;
 
-  void Count(Buckets& buckets, TimePoint now) {
+  void AddTo(Buckets& buckets, TimePoint now) {
     const Duration width = options_.window / kBucketsPerWindow;
     if (buckets.empty() || now - buckets.back().begin >= width) {
       buckets.push_back({.begin = now, .count = 0});
@@ -70,7 +70,7 @@
     ++buckets.back().count;
   }
 
-  static uint32_t Sum(const Buckets& buckets) {
+  static uint32_t TotalOf(const Buckets& buckets) {
     uint32_t sum = 0;
     for (const Bucket& bucket : buckets) {
       sum += bucket.count;
@@ -78,16 +78,16 @@
     return sum;
   }
 
-  void Forget(TimePoint now) {
+  void DropExpired(TimePoint now) {
     const Duration width = options_.window / kBucketsPerWindow;
-    const auto forget = [&](Buckets& buckets, Duration age) {
+    const auto drop_older = [&](Buckets& buckets, Duration age) {
       while (!buckets.empty() && now - buckets.front().begin > age) {
         buckets.pop_front();
       }
     };
-    forget(requests_, options_.window);
-    // A bucket's retries may have come at its end.
-    forget(retries_, options_.window + width);
+    drop_older(requests_, options_.window);
+    // The retries of a bucket may have been sent at its end.
+    drop_older(retries_, options_.window + width);
   }
 
   Options options_;
--- a/lavenderkeel/forward/server_directory.cc
+++ b/lavenderkeel/forward/server_directory.cc
@@ -26,9 +26,9 @@
 
 void ServerDirectory::Apply(const BackendServer& server) {
   ++generation_;
-  const auto former = FindById(server.id);
-  if (former != servers_.end()) {
-    servers_.erase(former);
+  const auto previous = FindById(server.id);
+  if (previous != servers_.end()) {
+    servers_.erase(previous);
   }
   servers_[server.start_key()] = {.server = server, .drop_at = std::nullopt};
 }
@@ -46,13 +46,13 @@
     return;
   }
   ++generation_;
-  if (!after_outage(now) || found->second.server.draining) {
+  if (!IsAfterOutage(now) || found->second.server.draining) {
     servers_.erase(found);
     return;
   }
   if (!found->second.drop_at.has_value()) {
-    const TimePoint since = outage_ ? now : *returned_;
-    found->second.drop_at = since + options_.relist_time;
+    const TimePoint since = outage_ ? now : *outage_end_;
+    found->second.drop_at = since + options_.relist_timeout;
   }
 }
 
@@ -62,7 +62,7 @@
 
 void ServerDirectory::OnReturn(TimePoint now) {
   if (std::exchange(outage_, false)) {
-    returned_ = now;
+    outage_end_ = now;
   }
 }
 
@@ -89,10 +89,10 @@
           .push_back(&entry.server);
     }
   }
-  // Failure: this entry alone was cut off from the store while a few servers
-  // left. Symptom: they get requests long after they said so, since they are
-  // taken for lapsed. A lapse takes most entries at once; where most servers
-  // are listed, the missing ones have left.
+  // An expiry during an outage affects most list entries at once. Where most
+  // servers are still listed, the missing ones have left, for example while
+  // this entry alone was disconnected from the store, and must get no more
+  // requests.
   if (confirmed.size() >= unconfirmed.size()) {
     return confirmed;
   }
--- a/lavenderkeel/forward/server_load.h
+++ b/lavenderkeel/forward/server_load.h
@@ -11,19 +11,20 @@
 
 namespace lavenderkeel {
 
-/// The speed and health of one backend server, from the ends of attempts.
+/// Speed and health of one backend server, from the results of attempts.
 class ServerLoad {
  public:
   struct Options {
-    /// Rest after a first failure; doubles with each further one in a row.
-    /// One failure in a few hundred requests is ordinary, so it costs little.
-    Duration first_rest = std::chrono::milliseconds(250);
-    /// A server that came back gets a request again within this time.
-    Duration longest_rest = std::chrono::seconds(4);
+    /// Backoff after the first failure; doubles with each consecutive one. One
+    /// failure in a few hundred requests is ordinary, so it costs little.
+    Duration initial_backoff = std::chrono::milliseconds(250);
+    /// A server that recovered gets a request again within this time.
+    Duration max_backoff = std::chrono::seconds(4);
     /// A full server frees a slot in about the time of a short request.
-    Duration full_rest = std::chrono::milliseconds(40);
-    /// Part of failures above which a server that still answers gets a rest.
-    double failing_share = 0.35;
+    Duration full_backoff = std::chrono::milliseconds(40);
+    /// Fraction of failures above which a server that still answers is backed
+    /// off.
+    double max_failure_fraction = 0.35;
   };
 
   ServerLoad() = default;
@@ -35,62 +36,63 @@
       case SlotResult::Kind::kUnused:
         return;
       case SlotResult::Kind::kAnswered:
-        errors_.Add(0);
-        failures_in_row_ = 0;
+        failure_fraction_.Add(0);
+        consecutive_failures_ = 0;
         return;
       case SlotResult::Kind::kErrored:
-        errors_.Add(1);
-        if (errors_.mean() > options_.failing_share) {
-          Rest(now);
+        failure_fraction_.Add(1);
+        if (failure_fraction_.mean() > options_.max_failure_fraction) {
+          BackOff(now);
         }
         return;
       case SlotResult::Kind::kFailed:
-        // Failure: a server loses one answer in twenty. Symptom: a rest after
-        // each keeps it idle half of the time, and in a burst the requests that
-        // it could serve are refused. One failure among answers is not a crash;
-        // of a crash the next failure tells at once.
-        errors_.Add(1);
-        if (failures_in_row_ > 0 || errors_.mean() > options_.failing_share) {
-          Rest(now);
+        // If a server loses one answer in twenty, a backoff after each loss
+        // keeps it idle half of the time, and in a burst the requests that it
+        // could serve are refused. One failure among answers is not a crash;
+        // after a crash the next attempt fails too.
+        failure_fraction_.Add(1);
+        if (consecutive_failures_ > 0 ||
+            failure_fraction_.mean() > options_.max_failure_fraction) {
+          BackOff(now);
         } else {
-          ++failures_in_row_;
+          ++consecutive_failures_;
         }
         return;
       case SlotResult::Kind::kUnreachable:
-        errors_.Add(1);
-        Rest(now);
+        failure_fraction_.Add(1);
+        BackOff(now);
         return;
       case SlotResult::Kind::kFull:
-        RestUntil(now + options_.full_rest);
+        BackOffUntil(now + options_.full_backoff);
         return;
       case SlotResult::Kind::kReplaced:
-        // It is gone, the list just does not say so yet.
-        RestUntil(now + options_.longest_rest);
+        // The server is gone, but the list does not show it yet.
+        BackOffUntil(now + options_.max_backoff);
         return;
     }
   }
 
-  bool resting(TimePoint now) const { return now < resting_until_; }
+  bool IsInBackoff(TimePoint now) const { return now < backoff_until_; }
   const ServerSpeed& speed() const { return speed_; }
 
  private:
-  void RestUntil(TimePoint until) {
-    resting_until_ = std::max(resting_until_, until);
+  void BackOffUntil(TimePoint until) {
+    backoff_until_ = std::max(backoff_until_, until);
   }
-  void Rest(TimePoint now) {
-    constexpr int kMostDoublings = 4;
-    const int doublings = std::min(failures_in_row_++, kMostDoublings);
-    RestUntil(now + std::min(options_.longest_rest,
-                             options_.first_rest * (1 << doublings)));
+  void BackOff(TimePoint now) {
+    constexpr int kMaxDoublings = 4;
+    const int doublings = std::min(consecutive_failures_++, kMaxDoublings);
+    BackOffUntil(now + std::min(options_.max_backoff,
+                                options_.initial_backoff * (1 << doublings)));
   }
 
-  /// Ten samples outweigh what was before: about a second at these loads.
-  static constexpr double kSamplePart = 0.1;
+  /// Ten samples outweigh all earlier ones: about a second under usual load.
+  static constexpr double kSampleWeight = 0.1;
 
   Options options_;
-  int failures_in_row_ = 0;
-  TimePoint resting_until_;
-  MovingMean errors_{kSamplePart};
+  int consecutive_failures_ = 0;
+  TimePoint backoff_until_;
+  MovingMean failure_fraction_{kSampleWeight};
   ServerSpeed speed_;
 };
 
--- a/lavenderkeel/forward/server_speed.h
+++ b/lavenderkeel/forward/server_speed.h
@@ -8,13 +8,13 @@
 
 namespace lavenderkeel {
 
-/// How fast requests are worked on, from the ends of attempts: at one server,
-/// or at all of a service.
+/// Moving averages of the processing speed at one server, or at all servers of
+/// a service, from the results of attempts.
 class ServerSpeed {
  public:
   void OnEnd(const SlotResult& result) {
     if (result.pace_ms.has_value()) {
-      pace_.Add(*result.pace_ms);
+      pace_ms_.Add(*result.pace_ms);
     }
     if (result.read.has_value()) {
       read_ms_.Add(result.read->ms);
@@ -22,11 +22,11 @@
     }
   }
 
-  /// Milliseconds, as in SlotResult; nothing before the first sample.
-  std::optional<double> pace() const {
-    return pace_.empty() ? std::nullopt : std::optional(pace_.mean());
+  /// As SlotResult::pace_ms; empty before the first sample.
+  std::optional<double> pace_ms() const {
+    return pace_ms_.empty() ? std::nullopt : std::optional(pace_ms_.mean());
   }
-  /// Milliseconds until the first event, a prompt token; nothing before the
+  /// Milliseconds until the first event per prompt token; empty before the
   /// first sample.
   std::optional<double> read_ms_per_token() const {
     return read_tokens_.mean() <= 0
@@ -35,12 +35,12 @@
   }
 
  private:
-  /// Ten samples outweigh what was before: about a second at these loads.
-  static constexpr double kSamplePart = 0.1;
+  /// Ten samples outweigh all earlier ones: about a second under usual load.
+  static constexpr double kSampleWeight = 0.1;
 
-  MovingMean pace_{kSamplePart};
-  MovingMean read_ms_{kSamplePart};
-  MovingMean read_tokens_{kSamplePart};
+  MovingMean pace_ms_{kSampleWeight};
+  MovingMean read_ms_{kSampleWeight};
+  MovingMean read_tokens_{kSampleWeight};
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/forward/slot.h
+++ b/lavenderkeel/forward/slot.h
@@ -13,18 +13,20 @@
 
 namespace lavenderkeel {
 
-/// The servers of a service that one gate looks after: those whose hash falls
-/// on `index` of `count`.
+/// The part of a service's servers that one scheduler manages: those whose hash
+/// modulo `count` is `index`.
 struct SlotGroup {
   uint32_t index = 0;
   uint32_t count = 1;
 
-  bool Has(uint64_t server_hash) const { return server_hash % count == index; }
+  bool Contains(uint64_t server_hash) const {
+    return server_hash % count == index;
+  }
 
   friend auto operator<=>(const SlotGroup&, const SlotGroup&) = default;
 };
 
-/// What one gate says of a group that it looks after.
+/// State of a group, as its scheduler reports it.
 struct GateReport {
   uint64_t service_hash = 0;
   SlotGroup group;
@@ -34,76 +36,80 @@
   friend bool operator==(const GateReport&, const GateReport&) = default;
 };
 
-/// An entry's wish for a slot at some server of a service.
+/// Request of an entry for a slot at some server of a service.
 struct SlotAsk {
-  /// The attempt that it is for; unique within the asking entry.
+  /// The attempt that needs the slot; unique within the requesting entry.
   AttemptId attempt = 0;
   std::string service;
   bool model_server = false;
   SlotGroup group;
-  /// Rank of urgency, 0 first: the team's, or the route's without one.
+  /// Priority rank, 0 first: the team's, or the route's if there is no team.
   int priority = 0;
-  /// Rank of the route: most teams have the same rank, and their requests
-  /// differ twentyfold in what they are worth to them.
+  /// Priority rank of the route. Most teams have the same rank, while the value
+  /// of their requests differs twentyfold.
   int route_priority = 0;
-  /// A later start is late for the client; after it, others of the same rank
-  /// that can still be in time go first.
+  /// A later start is late for the client; late requests go behind others of
+  /// the same rank that can still be in time.
   TimePoint in_time_until;
-  /// The final answer is due.
+  /// Deadline of the final answer.
   TimePoint due;
-  /// Hashes of the servers that failed this request before.
+  /// Hashes of the servers at which this request failed before.
   std::vector<uint64_t> tried;
-  /// What a model server will have to do for it, by estimate.
+  /// Estimated work for a model server.
   WorkSize size;
-  /// The longest pause between events that its client takes for fluent; zero:
-  /// it is not a stream.
+  /// Longest pause between events that the client accepts as fluent; zero if it
+  /// is not a stream.
   Duration event_gap_target{};
-  /// Among others of its rank shorter ones go first.
+  /// Whether it is ordered by estimated length among others of its rank,
+  /// shorter first.
   bool by_length = false;
-  /// The version of the servers that it may run at; empty: any.
+  /// Server version that the request must run at; empty for any.
   std::string version = {};
-  /// Servers of this version go first, if one has room; empty: none do.
+  /// Server version to prefer if one of its servers has a free slot; empty for
+  /// none.
   std::string canary_version = {};
-  /// What speaks against the request itself.
+  /// Evidence that the request crashes servers.
   CrashStanding standing = CrashStanding::kClear;
 
   friend bool operator==(const SlotAsk&, const SlotAsk&) = default;
 };
 
-/// A slot that is held for an attempt until the attempt's end is told.
+/// Slot held for an attempt until the end of the attempt is reported.
 struct SlotGrant {
   AttemptId attempt = 0;
   std::string server;
-  /// What the gate decided on: requests at the server, and its pace in
-  /// milliseconds, zero if it is not known.
+  /// Basis of the decision: requests at the server, and its pace in
+  /// milliseconds, zero if unknown.
   int in_flight = 0;
   double pace_ms = 0;
 
   friend bool operator==(const SlotGrant&, const SlotGrant&) = default;
 };
 
-/// How an attempt ended, for whoever keeps the health of servers.
+/// Result of an attempt, from which the health of servers is tracked.
 struct SlotResult {
   enum class Kind : uint8_t {
-    /// Not wanted any more; says nothing of the server.
+    /// The slot was not needed; says nothing about the server.
     kUnused = 0,
     kAnswered = 1,
-    /// A whole answer that says the server failed.
+    /// A complete answer that reports a failure of the server.
     kErrored = 2,
-    /// No whole answer.
+    /// No complete answer.
     kFailed = 3,
-    /// The server had no room.
+    /// The server had no free capacity.
     kFull = 4,
-    /// Another server has the address.
+    /// Another server has the address now.
     kReplaced = 5,
-    /// No connection came about.
+    /// No connection was established.
     kUnreachable = 6,
   };
 
   Kind kind = Kind::kUnused;
-  /// Milliseconds: of a stream between events, else to the whole answer.
+  /// Milliseconds: between events of a stream, otherwise until the complete
+  /// answer.
   std::optional<double> pace_ms;
-  /// How long a model server read the prompt, if it was long enough to tell.
+  /// Reading time of the prompt at a model server, if it was long enough to
+  /// measure.
   std::optional<PromptRead> read;
 
   friend bool operator==(const SlotResult&, const SlotResult&) = default;
--- a/lavenderkeel/forward/slot_gate.cc
+++ b/lavenderkeel/forward/slot_gate.cc
@@ -17,87 +17,90 @@
       on_grant_(std::move(on_grant)),
       placement_(options_.placement) {}
 
-void SlotGate::Ask(const std::string& asker, const SlotAsk& ask) {
-  const AskId id = {asker, ask.attempt};
-  asked_[LineOf(ask)] = clock_.Now();
-  // Asked again after a change of links: the slot that it has is offered anew.
+void SlotGate::Ask(const std::string& entry, const SlotAsk& request) {
+  const AttemptKey id = {entry, request.attempt};
+  last_request_times_[QueueKeyOf(request)] = clock_.Now();
+  // The entry asks again after a reconnect: the slot that it has is offered
+  // again.
   if (const auto granted = grants_.find(id); granted != grants_.end()) {
-    on_grant_(asker,
-              {.attempt = ask.attempt, .server = granted->second.server});
+    on_grant_(entry,
+              {.attempt = request.attempt, .server = granted->second.server});
     return;
   }
   Remove(id);
-  const Place place = PlaceOf(id, ask);
-  by_attempt_[id] = {.ask = ask, .place = place};
-  lines_[LineOf(ask)].insert(place);
-  late_at_.emplace(ask.in_time_until, id);
-  DispatchService(ask.service);
+  const QueuePosition position = PositionOf(id, request);
+  waiting_by_attempt_[id] = {.request = request, .position = position};
+  queues_[QueueKeyOf(request)].insert(position);
+  late_times_.emplace(request.in_time_until, id);
+  DispatchService(request.service);
 }
 
-SlotGate::Place SlotGate::PlaceOf(const AskId& id, const SlotAsk& ask) const {
+SlotGate::QueuePosition SlotGate::PositionOf(const AttemptKey& id,
+                                             const SlotAsk& request) const {
   const TimePoint now = clock_.Now();
-  const bool late = now >= ask.in_time_until;
-  if (!late && !ask.model_server) {
-    // Load it answers: a little more plain work than can be done. Where the
-    // oldest goes first each waits until it is just too late; the newest are
-    // answered at once, and as many in time as there is room for.
-    return {.priority = ask.priority,
-            .route_priority = ask.route_priority,
-            .before = TimePoint(-now.time_since_epoch()),
-            .ask = id};
+  const bool late = now >= request.in_time_until;
+  if (!late && !request.model_server) {
+    // Under a slight overload of plain work, oldest-first order lets every
+    // request wait until it is just too late. Newest-first order answers the
+    // newest at once, and as many in time as there is capacity for.
+    return {.priority = request.priority,
+            .route_priority = request.route_priority,
+            .sort_time = TimePoint(-now.time_since_epoch()),
+            .attempt = id};
   }
-  return {.priority = ask.priority,
-          .route_priority = ask.route_priority,
-          .late = late,
-          .before = (late ? ask.due : ask.in_time_until) +
-                    std::chrono::duration_cast<Duration>(
-                        LengthPenalty(ask) * options_.order_by_length),
-          .ask = id};
+  return {
+      .priority = request.priority,
+      .route_priority = request.route_priority,
+      .late = late,
+      .sort_time = (late ? request.due : request.in_time_until) +
+                   std::chrono::duration_cast<Duration>(
+                       LengthPenalty(request) * options_.length_penalty_weight),
+      .attempt = id};
 }
 
-Duration SlotGate::LengthPenalty(const SlotAsk& ask) const {
-  const auto found = speeds_.find(ask.service);
-  if (found == speeds_.end() || !ask.by_length) {
+Duration SlotGate::LengthPenalty(const SlotAsk& request) const {
+  const auto found = speeds_.find(request.service);
+  if (found == speeds_.end() || !request.by_length) {
     return Duration::zero();
   }
   const ServerSpeed& speed = found->second;
-  return FromMilliseconds(ask.size.prompt_tokens *
+  return FromMilliseconds(request.size.prompt_tokens *
                               speed.read_ms_per_token().value_or(0) +
-                          ask.size.events * speed.pace().value_or(0));
+                          request.size.events * speed.pace_ms().value_or(0));
 }
 
-void SlotGate::SortOutLate() {
-  // Load it answers: a burst beyond the capacity for some seconds. First come,
-  // first served makes every request of the rank late; in this order as many
-  // as there are slots for are in time, and the late ones, which are still of
-  // use, fill what is left.
+void SlotGate::DemoteLateRequests() {
+  // In a burst that exceeds the capacity for some seconds, first come, first
+  // served makes every request of the rank late. In this order as many requests
+  // as there are slots are in time, and late requests, which are still useful,
+  // take the remaining slots.
   const TimePoint now = clock_.Now();
-  while (!late_at_.empty() && late_at_.begin()->first <= now) {
-    const AskId id = late_at_.begin()->second;
-    late_at_.erase(late_at_.begin());
-    Waiting& waiting = by_attempt_.at(id);
-    std::set<Place>& places = lines_.at(LineOf(waiting.ask));
-    places.erase(waiting.place);
-    waiting.place = PlaceOf(id, waiting.ask);
-    places.insert(waiting.place);
+  while (!late_times_.empty() && late_times_.begin()->first <= now) {
+    const AttemptKey id = late_times_.begin()->second;
+    late_times_.erase(late_times_.begin());
+    WaitingRequest& waiting = waiting_by_attempt_.at(id);
+    std::set<QueuePosition>& queue = queues_.at(QueueKeyOf(waiting.request));
+    queue.erase(waiting.position);
+    waiting.position = PositionOf(id, waiting.request);
+    queue.insert(waiting.position);
   }
 }
 
-void SlotGate::Remove(const AskId& id) {
-  const auto found = by_attempt_.find(id);
-  if (found == by_attempt_.end()) {
+void SlotGate::Remove(const AttemptKey& id) {
+  const auto found = waiting_by_attempt_.find(id);
+  if (found == waiting_by_attempt_.end()) {
     return;
   }
-  const auto line = lines_.find(LineOf(found->second.ask));
-  line->second.erase(found->second.place);
-  late_at_.erase({found->second.ask.in_time_until, id});
-  by_attempt_.erase(found);
+  const auto queue = queues_.find(QueueKeyOf(found->second.request));
+  queue->second.erase(found->second.position);
+  late_times_.erase({found->second.request.in_time_until, id});
+  waiting_by_attempt_.erase(found);
 }
 
-void SlotGate::Done(const std::string& asker,
+void SlotGate::Done(const std::string& entry,
                     AttemptId attempt,
                     const SlotResult& result) {
-  const AskId id = {asker, attempt};
+  const AttemptKey id = {entry, attempt};
   Remove(id);
   const auto granted = grants_.find(id);
   if (granted == grants_.end()) {
@@ -105,7 +108,7 @@
   }
   const std::string server = granted->second.server;
   EraseGrant(granted);
-  occupancy_.RemoveGrant(asker, HashBytes(server));
+  occupancy_.RemoveGrant(entry, HashBytes(server));
   if (const BackendServer* known = directory_.Find(server)) {
     loads_[server].OnEnd(result, clock_.Now());
     speeds_[known->service].OnEnd(result);
@@ -113,73 +116,76 @@
   }
 }
 
-void SlotGate::OnReport(const std::string& asker,
+void SlotGate::OnReport(const std::string& entry,
                         const std::vector<ServerCount>& counts) {
-  // A coordinator hears a thousand reports a second, of which few free
-  // anything.
-  const bool freed = occupancy_.SetReport(asker, counts);
-  const bool lost = SettleGrants(asker);
-  if (freed || lost) {
+  // A coordinator receives a thousand reports a second, few of which free a
+  // slot.
+  const bool slot_freed = occupancy_.SetReport(entry, counts);
+  const bool grants_lost = VoidLostGrants(entry);
+  if (slot_freed || grants_lost) {
     Dispatch();
   }
 }
 
-bool SlotGate::SettleGrants(const std::string& asker) {
-  // Failure: a connection breaks with a grant or an end on it. Symptom: a slot
-  // that nobody uses and that is never free again. The entry's reports tell
-  // what it really has; grants beyond that, once old enough to show, are void.
+bool SlotGate::VoidLostGrants(const std::string& entry) {
+  // A connection can break with a grant or the end of an attempt in transit,
+  // which would leave an unused slot reserved forever. The entry's reports show
+  // its actual requests; grants in excess of these that are old enough to be
+  // reported are void.
   const TimePoint now = clock_.Now();
-  std::map<uint64_t, int> settled;
-  std::vector<AskId> lost;
-  for (auto grant = grants_.lower_bound({asker, 0});
-       grant != grants_.end() && grant->first.first == asker; ++grant) {
-    if (now - grant->second.at < options_.grant_settles) {
+  std::map<uint64_t, int> grants_by_server;
+  std::vector<AttemptKey> lost_grants;
+  for (auto grant = grants_.lower_bound({entry, 0});
+       grant != grants_.end() && grant->first.first == entry; ++grant) {
+    if (now - grant->second.granted_at < options_.grant_report_time) {
       continue;
     }
     const uint64_t server = HashBytes(grant->second.server);
-    if (++settled[server] > occupancy_.Reported(asker, server)) {
-      lost.push_back(grant->first);
+    if (++grants_by_server[server] >
+        occupancy_.ReportedInFlight(entry, server)) {
+      lost_grants.push_back(grant->first);
     }
   }
-  for (const AskId& id : lost) {
+  for (const AttemptKey& id : lost_grants) {
     const auto grant = grants_.find(id);
-    occupancy_.VoidGrant(asker, HashBytes(grant->second.server));
+    occupancy_.VoidGrant(entry, HashBytes(grant->second.server));
     EraseGrant(grant);
   }
-  return !lost.empty();
+  return !lost_grants.empty();
 }
 
 SlotGate::Grants::iterator SlotGate::EraseGrant(Grants::iterator grant) {
-  suspects_.Remove(HashBytes(grant->second.server), grant->second.standing);
+  suspects_.Remove(HashBytes(grant->second.server), grant->second.suspicion);
   return grants_.erase(grant);
 }
 
-void SlotGate::ForgetAsker(const std::string& asker) {
-  occupancy_.Forget(asker);
-  for (auto grant = grants_.lower_bound({asker, 0});
-       grant != grants_.end() && grant->first.first == asker;) {
+void SlotGate::ForgetAsker(const std::string& entry) {
+  occupancy_.Forget(entry);
+  for (auto grant = grants_.lower_bound({entry, 0});
+       grant != grants_.end() && grant->first.first == entry;) {
     grant = EraseGrant(grant);
   }
-  std::vector<AskId> asks;
-  for (const auto& [id, waiting] : by_attempt_) {
-    if (id.first == asker) {
-      asks.push_back(id);
+  std::vector<AttemptKey> attempts;
+  for (const auto& [id, waiting] : waiting_by_attempt_) {
+    if (id.first == entry) {
+      attempts.push_back(id);
     }
   }
-  for (const AskId& id : asks) {
+  for (const AttemptKey& id : attempts) {
     Remove(id);
   }
   Dispatch();
 }
 
 void SlotGate::Dispatch() {
-  // A grant may end at once and so lead back here; the outer call goes on.
+  // A grant may end at once and re-enter this function; the outer call
+  // continues.
   if (std::exchange(dispatching_, true)) {
     return;
   }
-  SortOutLate();
-  for (auto& [line, places] : lines_) {
-    DispatchLine(line, places);
+  DemoteLateRequests();
+  for (auto& [key, queue] : queues_) {
+    DispatchQueue(key, queue);
   }
   dispatching_ = false;
 }
@@ -188,18 +194,18 @@
   if (std::exchange(dispatching_, true)) {
     return;
   }
-  SortOutLate();
-  for (auto line = lines_.lower_bound({.service = service, .group = {0, 0}});
-       line != lines_.end() && line->first.service == service; ++line) {
-    DispatchLine(line->first, line->second);
+  DemoteLateRequests();
+  for (auto item = queues_.lower_bound({.service = service, .group = {0, 0}});
+       item != queues_.end() && item->first.service == service; ++item) {
+    DispatchQueue(item->first, item->second);
   }
   dispatching_ = false;
 }
 
 void SlotGate::Tick() {
-  std::erase_if(lines_, [](const auto& item) { return item.second.empty(); });
-  std::erase_if(asked_, [this](const auto& item) {
-    return clock_.Now() - item.second > options_.group_forgotten;
+  std::erase_if(queues_, [](const auto& item) { return item.second.empty(); });
+  std::erase_if(last_request_times_, [this](const auto& item) {
+    return clock_.Now() - item.second > options_.group_expiry;
   });
   std::erase_if(loads_, [this](const auto& item) {
     return directory_.Find(item.first) == nullptr;
@@ -207,71 +213,75 @@
   Dispatch();
 }
 
-void SlotGate::DispatchLine(const Line& line, std::set<Place>& places) {
-  if (places.empty()) {
+void SlotGate::DispatchQueue(const QueueKey& key,
+                             std::set<QueuePosition>& queue) {
+  if (queue.empty()) {
     return;
   }
   const bool model_server =
-      by_attempt_.at(places.begin()->ask).ask.model_server;
+      waiting_by_attempt_.at(queue.begin()->attempt).request.model_server;
   Placement::Candidates candidates =
-      placement_.Find(line.service, model_server, line.group, directory_,
-                      loads_, occupancy_, clock_.Now());
-  // A wish that no free server suits leaves the slot to those behind it.
+      placement_.Find(key.service, model_server, key.group, directory_, loads_,
+                      occupancy_, clock_.Now());
+  // A request that fits no free server leaves the slot to those behind it.
   const TimePoint now = clock_.Now();
-  int passed_over = 0;
-  auto place = places.begin();
-  while (place != places.end() && candidates.free > 0 &&
-         passed_over < options_.most_passed_over) {
-    const Place asked = *place;
-    Placement::Candidate* chosen = placement_.Choose(
-        by_attempt_.at(asked.ask).ask, asked.late, candidates, suspects_, now);
+  int skipped = 0;
+  auto position = queue.begin();
+  while (position != queue.end() && candidates.free > 0 &&
+         skipped < options_.max_skipped_requests) {
+    const QueuePosition current = *position;
+    Placement::Candidate* chosen =
+        placement_.Choose(waiting_by_attempt_.at(current.attempt).request,
+                          current.late, candidates, suspects_, now);
     if (chosen == nullptr) {
-      ++passed_over;
-      ++place;
+      ++skipped;
+      ++position;
       continue;
     }
-    candidates.Take(*chosen);
-    Grant(asked.ask, *chosen->server);
-    // The grant may have led to wishes and ends of others.
-    place = places.upper_bound(asked);
+    candidates.AddRequest(*chosen);
+    Grant(current.attempt, *chosen->server);
+    // The grant may have added or removed other requests.
+    position = queue.upper_bound(current);
   }
 }
 
-void SlotGate::Grant(const AskId& id, const BackendServer& server) {
+void SlotGate::Grant(const AttemptKey& id, const BackendServer& server) {
   const std::string key = server.start_key();
   const uint64_t hash = HashBytes(key);
   const ServerLoad& load = loads_[key];
   const SlotGrant grant = {.attempt = id.second,
                            .server = key,
-                           .in_flight = occupancy_.At(hash),
-                           .pace_ms = load.speed().pace().value_or(0)};
-  const CrashStanding standing = by_attempt_.at(id).ask.standing;
+                           .in_flight = occupancy_.InFlight(hash),
+                           .pace_ms = load.speed().pace_ms().value_or(0)};
+  const CrashStanding suspicion = waiting_by_attempt_.at(id).request.standing;
   Remove(id);
-  grants_[id] = {.server = key, .at = clock_.Now(), .standing = standing};
-  suspects_.Add(hash, standing);
+  grants_[id] = {
+      .server = key, .granted_at = clock_.Now(), .suspicion = suspicion};
+  suspects_.Add(hash, suspicion);
   occupancy_.AddGrant(id.first, hash);
   on_grant_(id.first, grant);
 }
 
 std::vector<GateReport> SlotGate::Reports() const {
   std::vector<GateReport> reports;
-  for (const auto& [line, last] : asked_) {
+  for (const auto& [key, last_request_time] : last_request_times_) {
     reports.push_back(
-        {.service_hash = HashBytes(line.service),
-         .group = line.group,
-         .free = Free(line.service, line.group),
-         .waiting = static_cast<int>(waiting(line.service, line.group))});
+        {.service_hash = HashBytes(key.service),
+         .group = key.group,
+         .free = FreeCapacity(key.service, key.group),
+         .waiting = static_cast<int>(waiting(key.service, key.group))});
   }
   return reports;
 }
 
 size_t SlotGate::waiting(const std::string& service,
                          const SlotGroup& group) const {
-  const auto found = lines_.find({.service = service, .group = group});
-  return found == lines_.end() ? 0 : found->second.size();
+  const auto found = queues_.find({.service = service, .group = group});
+  return found == queues_.end() ? 0 : found->second.size();
 }
 
-int SlotGate::Free(const std::string& service, const SlotGroup& group) const {
+int SlotGate::FreeCapacity(const std::string& service,
+                           const SlotGroup& group) const {
   return placement_
       .Find(service, /*model_server=*/true, group, directory_, loads_,
             occupancy_, clock_.Now())
--- a/lavenderkeel/forward/slot_gate.h
+++ b/lavenderkeel/forward/slot_gate.h
@@ -22,7 +22,7 @@
 
 namespace lavenderkeel {
 
-/// Requests that one entry has at one server.
+/// Number of requests that one entry has at one server.
 struct ServerCount {
   uint64_t server_hash = 0;
   int in_flight = 0;
@@ -30,108 +30,114 @@
   friend bool operator==(const ServerCount&, const ServerCount&) = default;
 };
 
-/// Hands out the slots of backend servers to all entries, urgent work first.
+/// Scheduler that grants the slots of backend servers to all entries, urgent
+/// requests first.
 ///
-/// Load it answers: entries that place on each other's reports, each a
-/// heartbeat old, all take the same free slot. With 26 entries before 47
-/// servers half of the requests went to servers that were full already, some
-/// ten deep, where urgent work waits behind whatever came first. One gate for
-/// a group of servers has no stale view and one line for all entries.
+/// Entries that place requests by each other's reports, each a heartbeat old,
+/// all take the same free slot: with 26 entries and 47 servers half of the
+/// requests went to full servers, some ten deep, where urgent requests wait
+/// behind earlier ones. One scheduler per group of servers has a current view
+/// and one queue for all entries.
 ///
-/// It holds nothing that has to last: an entry whose gate is gone asks another,
-/// which starts from the entries' reports. At most once does not rest on it.
+/// Its state need not last: an entry whose scheduler is lost asks another one,
+/// which starts from the entries' reports. At-most-once execution does not
+/// depend on it.
 class SlotGate {
  public:
   struct Options {
     Placement::Options placement;
-    /// A grant that its entry's reports do not show after this time was lost
-    /// on the way, or its end was. Twice the period of reports and a way.
-    Duration grant_settles = std::chrono::milliseconds(260);
-    /// Wishes that are passed over in search of one that a free slot suits. A
-    /// line holds some hundred in a burst, and a gate has a tenth of a core.
-    int most_passed_over = 64;
-    /// What each second that a request will hold its slot, by estimate, adds to
-    /// the moment that its place in the line goes by.
-    double order_by_length = 1.0;
-    /// A group that no wish came for in this time has another gate now.
-    Duration group_forgotten = std::chrono::seconds(2);
+    /// A grant that the entry's reports do not show after this time was lost,
+    /// or its end was. Twice the report period plus a network delay.
+    Duration grant_report_time = std::chrono::milliseconds(260);
+    /// Limit of requests skipped to find one that fits a free server. A queue
+    /// holds some hundred requests in a burst, and a scheduler may have a tenth
+    /// of a core.
+    int max_skipped_requests = 64;
+    /// Seconds added to a request's sort time for each second that it is
+    /// estimated to hold its slot.
+    double length_penalty_weight = 1.0;
+    /// A group without a slot request for this time has another scheduler now.
+    Duration group_expiry = std::chrono::seconds(2);
   };
 
-  /// Hands a slot out. May lead back to Done and Ask.
+  /// Delivers a grant. May call Done and Ask re-entrantly.
   using OnGrant =
-      std::function<void(const std::string& asker, const SlotGrant& grant)>;
+      std::function<void(const std::string& entry, const SlotGrant& grant)>;
 
   SlotGate(Options options,
            const ServerDirectory& directory,
            const Clock& clock,
            OnGrant on_grant);
 
-  void Ask(const std::string& asker, const SlotAsk& ask);
-  /// The attempt is over, granted or not.
-  void Done(const std::string& asker,
+  void Ask(const std::string& entry, const SlotAsk& request);
+  /// Ends the attempt, granted or not.
+  void Done(const std::string& entry,
             AttemptId attempt,
             const SlotResult& result);
-  void OnReport(const std::string& asker,
+  void OnReport(const std::string& entry,
                 const std::vector<ServerCount>& counts);
-  void ForgetAsker(const std::string& asker);
-  /// Grants what can be granted, as after a change of servers or with time.
+  void ForgetAsker(const std::string& entry);
+  /// Grants free slots, as after a change of the servers or as time passes.
   void Dispatch();
-  /// Forgets servers that are gone, and does what time asks for.
+  /// Drops the state of removed servers and of unused groups, and dispatches.
   void Tick();
 
-  /// Of the groups that wishes came for lately.
+  /// Reports on the groups with recent slot requests.
   std::vector<GateReport> Reports() const;
   size_t waiting(const std::string& service, const SlotGroup& group) const;
-  /// Free places at sound servers of the group.
-  int Free(const std::string& service, const SlotGroup& group) const;
+  /// Free capacity at healthy servers of the group.
+  int FreeCapacity(const std::string& service, const SlotGroup& group) const;
 
  private:
-  using AskId = std::pair<std::string, AttemptId>;
-  struct Line {
+  using AttemptKey = std::pair<std::string, AttemptId>;
+  struct QueueKey {
     std::string service;
     SlotGroup group;
 
-    friend auto operator<=>(const Line&, const Line&) = default;
+    friend auto operator<=>(const QueueKey&, const QueueKey&) = default;
   };
-  struct Place {
+  struct QueuePosition {
     int priority = 0;
     int route_priority = 0;
     bool late = false;
-    /// When it is late, or due if it is late already.
-    TimePoint before;
-    AskId ask;
+    /// At model servers `in_time_until`, or `due` if already late, plus the
+    /// length penalty; at plain servers newest first.
+    TimePoint sort_time;
+    AttemptKey attempt;
 
-    friend auto operator<=>(const Place&, const Place&) = default;
+    friend auto operator<=>(const QueuePosition&,
+                            const QueuePosition&) = default;
   };
-  struct Waiting {
-    SlotAsk ask;
-    Place place;
+  struct WaitingRequest {
+    SlotAsk request;
+    QueuePosition position;
   };
-  struct Granted {
+  struct ActiveGrant {
     std::string server;
-    TimePoint at;
-    CrashStanding standing = CrashStanding::kClear;
+    TimePoint granted_at;
+    CrashStanding suspicion = CrashStanding::kClear;
   };
-  using Grants = std::map<AskId, Granted>;
+  using Grants = std::map<AttemptKey, ActiveGrant>;
 
-  static Line LineOf(const SlotAsk& ask) {
-    return {.service = ask.service, .group = ask.group};
+  static QueueKey QueueKeyOf(const SlotAsk& request) {
+    return {.service = request.service, .group = request.group};
   }
-  Place PlaceOf(const AskId& id, const SlotAsk& ask) const;
-  /// Puts wishes that can't be in time any more behind those that can.
-  void SortOutLate();
-  /// How long it will hold its slot, by estimate; zero if that is not known or
-  /// its place does not go by it.
-  Duration LengthPenalty(const SlotAsk& ask) const;
-  /// The same for the lines of one service.
+  QueuePosition PositionOf(const AttemptKey& id, const SlotAsk& request) const;
+  /// Moves requests that can no longer be in time behind those that still can.
+  void DemoteLateRequests();
+  /// Estimated time that the request will hold its slot; zero if unknown or not
+  /// ordered by length.
+  Duration LengthPenalty(const SlotAsk& request) const;
+  /// Grants free slots of one service.
   void DispatchService(const std::string& service);
-  void DispatchLine(const Line& line, std::set<Place>& places);
-  void Remove(const AskId& id);
-  void Grant(const AskId& id, const BackendServer& server);
-  /// It does not run any more; counts of requests at the server stay.
+  void DispatchQueue(const QueueKey& key, std::set<QueuePosition>& queue);
+  void Remove(const AttemptKey& id);
+  void Grant(const AttemptKey& id, const BackendServer& server);
+  /// Removes a grant whose attempt no longer runs; the request counts of the
+  /// server stay.
   Grants::iterator EraseGrant(Grants::iterator grant);
-  /// @return whether a lost one was found
-  bool SettleGrants(const std::string& asker);
+  /// @return whether a lost grant was found
+  bool VoidLostGrants(const std::string& entry);
 
   Options options_;
   const ServerDirectory& directory_;
@@ -140,14 +146,14 @@
   Placement placement_;
   SlotOccupancy occupancy_;
   ServerLoads loads_;
-  /// How long a service's servers took of late, whichever they were.
+  /// Recent speed of each service, over all of its servers.
   std::map<std::string, ServerSpeed> speeds_;
-  std::map<Line, std::set<Place>> lines_;
-  /// When the last wish for each group came.
-  std::map<Line, TimePoint> asked_;
-  std::map<AskId, Waiting> by_attempt_;
-  /// Wishes that are not late yet, by when they will be.
-  std::set<std::pair<TimePoint, AskId>> late_at_;
+  std::map<QueueKey, std::set<QueuePosition>> queues_;
+  /// Time of the last slot request for each group.
+  std::map<QueueKey, TimePoint> last_request_times_;
+  std::map<AttemptKey, WaitingRequest> waiting_by_attempt_;
+  /// Requests that are not late yet, by the time at which they become late.
+  std::set<std::pair<TimePoint, AttemptKey>> late_times_;
   Grants grants_;
   SuspectRuns suspects_;
   bool dispatching_ = false;
--- a/lavenderkeel/forward/slot_occupancy.h
+++ b/lavenderkeel/forward/slot_occupancy.h
@@ -10,105 +10,111 @@
 
 namespace lavenderkeel {
 
-/// How many requests are at each server, from what a gate granted and from
-/// what the entries report.
+/// Number of requests at each server, from the grants of a scheduler and the
+/// reports of the entries.
 ///
-/// A grant counts at once, a report is a heartbeat old. An entry's part is the
-/// larger of the two: the report also has what another gate granted, as after
-/// a change of gates, and the grants have what was sent since the report.
+/// A grant counts at once, a report is a heartbeat old. For each entry the
+/// larger of the two counts: the report includes requests that another
+/// scheduler granted, as after a change of schedulers, and the grants include
+/// requests sent since the report.
 class SlotOccupancy {
  public:
-  void AddGrant(const std::string& asker, uint64_t server) {
-    Part& part = parts_[asker][server];
-    Change(server, part,
-           {.granted = part.granted + 1, .reported = part.reported});
+  void AddGrant(const std::string& entry, uint64_t server) {
+    EntryCounts& entry_counts = by_entry_[entry][server];
+    Update(server, entry_counts,
+           {.granted = entry_counts.granted + 1,
+            .reported = entry_counts.reported});
   }
 
-  /// A granted request has ended, and with it its place in the last report.
-  void RemoveGrant(const std::string& asker, uint64_t server) {
-    Part& part = parts_[asker][server];
-    Change(server, part,
-           {.granted = std::max(0, part.granted - 1),
-            .reported = std::max(0, part.reported - 1)});
+  /// Counts the end of a granted request, also in the last report.
+  void RemoveGrant(const std::string& entry, uint64_t server) {
+    EntryCounts& entry_counts = by_entry_[entry][server];
+    Update(server, entry_counts,
+           {.granted = std::max(0, entry_counts.granted - 1),
+            .reported = std::max(0, entry_counts.reported - 1)});
   }
 
-  /// A grant that its asker never had, so that no report counts it.
-  void VoidGrant(const std::string& asker, uint64_t server) {
-    Part& part = parts_[asker][server];
-    Change(
-        server, part,
-        {.granted = std::max(0, part.granted - 1), .reported = part.reported});
+  /// Removes a grant that the entry never received, so that no report includes
+  /// it.
+  void VoidGrant(const std::string& entry, uint64_t server) {
+    EntryCounts& entry_counts = by_entry_[entry][server];
+    Update(server, entry_counts,
+           {.granted = std::max(0, entry_counts.granted - 1),
+            .reported = entry_counts.reported});
   }
 
-  /// Replaces the asker's report. Servers that it leaves out have none.
-  /// @return whether a place became free
+  /// Replaces the entry's report. Servers missing from it have no requests.
+  /// @return whether a slot became free
   template <typename Counts>
-  bool SetReport(const std::string& asker, const Counts& counts) {
-    auto& parts = parts_[asker];
+  bool SetReport(const std::string& entry, const Counts& counts) {
+    auto& by_server = by_entry_[entry];
     std::unordered_map<uint64_t, int> reported;
     for (const auto& count : counts) {
       reported[count.server_hash] = count.in_flight;
-      parts.try_emplace(count.server_hash);
+      by_server.try_emplace(count.server_hash);
     }
-    bool freed = false;
-    for (auto& [server, part] : parts) {
+    bool slot_freed = false;
+    for (auto& [server, entry_counts] : by_server) {
       const auto found = reported.find(server);
-      const int before = part.count();
-      Change(server, part,
-             {.granted = part.granted,
+      const int before = entry_counts.count();
+      Update(server, entry_counts,
+             {.granted = entry_counts.granted,
               .reported = found == reported.end() ? 0 : found->second});
-      freed |= part.count() < before;
+      slot_freed |= entry_counts.count() < before;
     }
-    // Else every report would go through each server that the asker ever used.
-    std::erase_if(parts,
+    // Otherwise every report would iterate over each server that the entry ever
+    // used.
+    std::erase_if(by_server,
                   [](const auto& item) { return item.second.count() == 0; });
-    return freed;
+    return slot_freed;
   }
 
-  void Forget(const std::string& asker) {
-    const auto found = parts_.find(asker);
-    if (found == parts_.end()) {
+  void Forget(const std::string& entry) {
+    const auto found = by_entry_.find(entry);
+    if (found == by_entry_.end()) {
       return;
     }
-    for (auto& [server, part] : found->second) {
-      Change(server, part, {});
+    for (auto& [server, entry_counts] : found->second) {
+      Update(server, entry_counts, {});
     }
-    parts_.erase(found);
+    by_entry_.erase(found);
   }
 
-  int At(uint64_t server) const {
+  int InFlight(uint64_t server) const {
     const auto found = totals_.find(server);
     return found == totals_.end() ? 0 : found->second;
   }
 
-  /// What the asker's last report says of the server.
-  int Reported(const std::string& asker, uint64_t server) const {
-    const auto parts = parts_.find(asker);
-    if (parts == parts_.end()) {
+  /// Requests at the server by the entry's last report.
+  int ReportedInFlight(const std::string& entry, uint64_t server) const {
+    const auto by_server = by_entry_.find(entry);
+    if (by_server == by_entry_.end()) {
       return 0;
     }
-    const auto found = parts->second.find(server);
-    return found == parts->second.end() ? 0 : found->second.reported;
+    const auto found = by_server->second.find(server);
+    return found == by_server->second.end() ? 0 : found->second.reported;
   }
 
  private:
-  struct Part {
+  struct EntryCounts {
     int granted = 0;
     int reported = 0;
 
     int count() const { return std::max(granted, reported); }
   };
 
-  void Change(uint64_t server, Part& part, const Part& next) {
+  void Update(uint64_t server,
+              EntryCounts& entry_counts,
+              const EntryCounts& next) {
     int& total = totals_[server];
-    total += next.count() - part.count();
+    total += next.count() - entry_counts.count();
     if (total == 0) {
       totals_.erase(server);
     }
-    part = next;
+    entry_counts = next;
   }
 
-  std::map<std::string, std::unordered_map<uint64_t, Part>> parts_;
+  std::map<std::string, std::unordered_map<uint64_t, EntryCounts>> by_entry_;
   std::unordered_map<uint64_t, int> totals_;
 };
 
--- a/lavenderkeel/forward/slot_router.cc
+++ b/lavenderkeel/forward/slot_router.cc
@@ -18,66 +18,69 @@
       log_(log),
       hooks_(std::move(hooks)) {}
 
-void SlotRouter::Ask(SlotAsk ask) {
-  ask.group = ChooseGroup(ask);
-  ++asked_[{HashBytes(ask.service), ask.group}];
-  const AttemptId attempt = ask.attempt;
+void SlotRouter::Ask(SlotAsk request) {
+  request.group = ChooseGroup(request);
+  ++requests_since_report_[{HashBytes(request.service), request.group}];
+  const AttemptId attempt = request.attempt;
   Pending& pending = pending_[attempt];
-  pending = {.ask = std::move(ask), .gate = {}};
+  pending = {.request = std::move(request), .scheduler = {}};
   Send(pending);
 }
 
 void SlotRouter::Send(Pending& pending) {
-  pending.gate = GateOf(pending.ask.service, pending.ask.group);
+  pending.scheduler =
+      SchedulerFor(pending.request.service, pending.request.group);
   pending.granted = false;
-  // A copy: the gate may be here, grant at once, and the attempt may be over.
-  const std::string gate = pending.gate;
-  const SlotAsk ask = pending.ask;
-  hooks_.ask(gate, ask);
+  // Copies: a scheduler at this entry may grant at once, and the attempt may
+  // end.
+  const std::string scheduler = pending.scheduler;
+  const SlotAsk request = pending.request;
+  hooks_.ask(scheduler, request);
 }
 
-SlotGroup SlotRouter::ChooseGroup(const SlotAsk& ask) {
-  const size_t servers = directory_.Usable(ask.service).size();
-  const auto count =
-      static_cast<uint32_t>(std::max<size_t>(1, servers / ServersPerGate()));
-  const uint64_t service_hash = HashBytes(ask.service);
-  // The group with the most room by its gate's last report, less what was asked
-  // of it since. In turn among equals, so that entries spread.
+SlotGroup SlotRouter::ChooseGroup(const SlotAsk& request) {
+  const size_t servers = directory_.Usable(request.service).size();
+  const auto count = static_cast<uint32_t>(
+      std::max<size_t>(1, servers / MinServersPerScheduler()));
+  const uint64_t service_hash = HashBytes(request.service);
+  // The group with the most free slots by its scheduler's last report, less the
+  // requests sent since. Round robin among equals, so that entries spread.
   SlotGroup best;
-  int best_room = 0;
-  const uint32_t first = turn_++;
+  int best_net_free_slots = 0;
+  const uint32_t first = round_robin_++;
   for (uint32_t i = 0; i < count; ++i) {
     const SlotGroup group = {.index = (first + i) % count, .count = count};
-    const auto gate = gates_.find(GateOf(ask.service, group));
-    int room = -asked_[{service_hash, group}];
-    if (gate != gates_.end()) {
-      for (const GateReport& report : gate->second.reports) {
+    const auto scheduler =
+        schedulers_.find(SchedulerFor(request.service, group));
+    int net_free_slots = -requests_since_report_[{service_hash, group}];
+    if (scheduler != schedulers_.end()) {
+      for (const GateReport& report : scheduler->second.reports) {
         if (report.service_hash == service_hash && report.group == group) {
-          room += report.free - report.waiting;
+          net_free_slots += report.free - report.waiting;
         }
       }
     }
-    if (i == 0 || room > best_room) {
+    if (i == 0 || net_free_slots > best_net_free_slots) {
       best = group;
-      best_room = room;
+      best_net_free_slots = net_free_slots;
     }
   }
   return best;
 }
 
-size_t SlotRouter::ServersPerGate() const {
+size_t SlotRouter::MinServersPerScheduler() const {
   return std::max(
-      options_.servers_per_gate,
-      static_cast<size_t>(options_.servers_per_core * weakest_host_));
+      options_.min_servers_per_scheduler,
+      static_cast<size_t>(options_.min_servers_per_core * weakest_host_cores_));
 }
 
-std::string SlotRouter::GateOf(const std::string& service,
-                               const SlotGroup& group) const {
+std::string SlotRouter::SchedulerFor(const std::string& service,
+                                     const SlotGroup& group) const {
   const uint64_t key = HashBytes(service, group.index);
   std::string best = options_.self;
   uint64_t best_weight =
-      leaving_ || !hosts_gates_ ? 0 : RendezvousWeight(key, best);
-  for (const auto& [entry, gate] : gates_) {
+      leaving_ || !hosts_schedulers_ ? 0 : RendezvousWeight(key, best);
+  for (const auto& [entry, scheduler] : schedulers_) {
     const uint64_t weight = RendezvousWeight(key, entry);
     if (entry != options_.self && weight > best_weight && IsUp(entry)) {
       best = entry;
@@ -88,17 +91,18 @@
 }
 
 bool SlotRouter::IsUp(const std::string& entry) const {
-  const auto found = gates_.find(entry);
-  return found != gates_.end() &&
-         clock_.Now() - found->second.heard <= options_.gate_silence;
+  const auto found = schedulers_.find(entry);
+  return found != schedulers_.end() &&
+         clock_.Now() - found->second.last_report_time <=
+             options_.scheduler_timeout;
 }
 
-bool SlotRouter::OnGrant(const std::string& gate, AttemptId attempt) {
+bool SlotRouter::OnGrant(const std::string& scheduler, AttemptId attempt) {
   const auto found = pending_.find(attempt);
-  // A wish that was taken elsewhere meanwhile may be granted twice; the first
-  // slot is used, the other goes back.
+  // A request that was moved to another scheduler may be granted twice; the
+  // first slot is used, the other is returned.
   if (found == pending_.end() || found->second.granted ||
-      found->second.gate != gate) {
+      found->second.scheduler != scheduler) {
     return false;
   }
   found->second.granted = true;
@@ -110,54 +114,54 @@
   if (found == pending_.end()) {
     return;
   }
-  const std::string gate = found->second.gate;
+  const std::string scheduler = found->second.scheduler;
   pending_.erase(found);
-  hooks_.done(gate, attempt, result);
+  hooks_.done(scheduler, attempt, result);
 }
 
 std::string SlotRouter::GateAsked(AttemptId attempt) const {
   const auto found = pending_.find(attempt);
-  return found == pending_.end() ? "" : found->second.gate;
+  return found == pending_.end() ? "" : found->second.scheduler;
 }
 
 void SlotRouter::OnHeard(const std::string& entry,
-                         const std::vector<GateReport>& gates) {
-  gates_[entry] = {.heard = clock_.Now(), .reports = gates};
-  for (const GateReport& report : gates) {
-    asked_.erase({report.service_hash, report.group});
+                         const std::vector<GateReport>& reports) {
+  schedulers_[entry] = {.last_report_time = clock_.Now(), .reports = reports};
+  for (const GateReport& report : reports) {
+    requests_since_report_.erase({report.service_hash, report.group});
   }
 }
 
 void SlotRouter::OnReconnected(const std::string& entry) {
-  AskAgain(entry);
+  Resend(entry);
 }
 
 void SlotRouter::OnGone(const std::string& entry) {
-  if (gates_.erase(entry) > 0) {
-    AskAgain(entry);
+  if (schedulers_.erase(entry) > 0) {
+    Resend(entry);
   }
 }
 
 void SlotRouter::Tick() {
-  for (const auto& [entry, gate] : gates_) {
+  for (const auto& [entry, scheduler] : schedulers_) {
     if (IsUp(entry)) {
       continue;
     }
-    if (const size_t moved = AskAgain(entry); moved > 0) {
+    if (const size_t moved = Resend(entry); moved > 0) {
       log_.Warn("gate_silent", {{"gate", entry}, {"waiting", moved}});
     }
   }
 }
 
-size_t SlotRouter::AskAgain(const std::string& gate) {
+size_t SlotRouter::Resend(const std::string& scheduler) {
   std::vector<AttemptId> waiting;
   for (const auto& [attempt, pending] : pending_) {
-    if (pending.gate == gate && !pending.granted) {
+    if (pending.scheduler == scheduler && !pending.granted) {
       waiting.push_back(attempt);
     }
   }
   for (const AttemptId attempt : waiting) {
-    // One that was granted on the way may be over by now.
+    // A request that was granted during this loop may have ended already.
     const auto found = pending_.find(attempt);
     if (found != pending_.end() && !found->second.granted) {
       Send(found->second);
--- a/lavenderkeel/forward/slot_router.h
+++ b/lavenderkeel/forward/slot_router.h
@@ -14,35 +14,38 @@
 
 namespace lavenderkeel {
 
-/// Takes an entry's wishes for slots to the gates that hand them out.
+/// Sends an entry's slot requests to the schedulers that grant them.
 ///
-/// The servers of a large service are split into groups; a group's gate is at
-/// the entry that wins the rendezvous among those heard of lately. A wish whose
-/// gate falls silent is taken to the gate that follows.
+/// The servers of a large service are split into groups. The scheduler of a
+/// group runs at the entry that wins the rendezvous among those that reported
+/// lately. If a scheduler is unresponsive, its waiting requests are sent to the
+/// next one.
 class SlotRouter {
  public:
   struct Options {
-    /// This entry's name among the gates.
+    /// This entry's name among the schedulers.
     std::string self;
-    /// Servers that one gate looks after at least. Few enough that an entry
-    /// with a tenth of a core carries them: some 300 small messages a second.
-    size_t servers_per_gate = 16;
-    /// The same for each whole core of the weakest entry that has gates.
+    /// Minimum number of servers per scheduler. Few enough for an entry with a
+    /// tenth of a core: some 300 small messages a second.
+    size_t min_servers_per_scheduler = 16;
+    /// Minimum number of servers per scheduler for each whole core of the
+    /// weakest entry that hosts schedulers.
     ///
-    /// Load it answers: a burst before 180 servers. With eleven groups wishes
-    /// wait in one line while slots are free in another, and what is urgent in
-    /// one stands behind what is not in another: 0.81 of what clients ask for
-    /// was served on the heaviest day, with two groups 0.91.
-    double servers_per_core = 160;
-    /// An entry that said nothing for this time is no gate. Four times the
-    /// period of reports; a request can wait so long and still be in time.
-    Duration gate_silence = std::chrono::milliseconds(400);
+    /// With many groups, requests wait in one queue while slots are free in
+    /// another, and urgent requests of one queue wait longer than others
+    /// elsewhere: in a burst before 180 servers on the heaviest day, eleven
+    /// groups served 0.81 of what clients ask for, two groups 0.91.
+    double min_servers_per_core = 160;
+    /// An entry without a report for this time hosts no scheduler. Four times
+    /// the report period; a request can wait this long and still be in time.
+    Duration scheduler_timeout = std::chrono::milliseconds(400);
   };
 
   struct Hooks {
-    std::function<void(const std::string& gate, const SlotAsk&)> ask;
-    std::function<
-        void(const std::string& gate, AttemptId attempt, const SlotResult&)>
+    std::function<void(const std::string& scheduler, const SlotAsk&)> ask;
+    std::function<void(const std::string& scheduler,
+                       AttemptId attempt,
+                       const SlotResult&)>
         done;
   };
 
@@ -52,64 +55,68 @@
              const EventLog& log,
              Hooks hooks);
 
-  /// Asks for a slot; the group is chosen here.
-  void Ask(SlotAsk ask);
-  /// @return false if nothing is known of it: the slot goes back unused
-  bool OnGrant(const std::string& gate, AttemptId attempt);
-  /// The attempt is over, granted or not.
+  /// Requests a slot and chooses the group for it.
+  void Ask(SlotAsk request);
+  /// @return false if no waiting request matches the grant; the slot is then
+  ///     returned unused
+  bool OnGrant(const std::string& scheduler, AttemptId attempt);
+  /// Ends the attempt, granted or not.
   void Done(AttemptId attempt, const SlotResult& result);
-  /// The gate that was asked for the attempt's slot last; empty if none was.
+  /// Scheduler that last received the attempt's slot request; empty if none
+  /// did.
   std::string GateAsked(AttemptId attempt) const;
 
-  /// An entry that may be a gate told of itself.
-  void OnHeard(const std::string& entry, const std::vector<GateReport>& gates);
-  /// A connection to it is up again: what was on the former one may be lost.
+  /// Handles a report of an entry that may host schedulers.
+  void OnHeard(const std::string& entry,
+               const std::vector<GateReport>& reports);
+  /// Sends waiting requests again after a reconnect, since messages on the
+  /// former connection may be lost.
   void OnReconnected(const std::string& entry);
-  /// Whether this entry has gates. If not, another has them where one is heard
-  /// of.
-  void set_hosts_gates(bool hosts) { hosts_gates_ = hosts; }
-  /// The part of a core that the weakest entry with gates has.
-  void set_weakest_host(double processor_share) {
-    weakest_host_ = processor_share;
-  }
-  /// From now on another entry is the gate where there is one.
+  /// Whether this entry hosts schedulers. If not, another one that reports
+  /// does.
+  void set_hosts_gates(bool hosts) { hosts_schedulers_ = hosts; }
+  /// Processor share of the weakest entry that hosts schedulers, in cores.
+  void set_weakest_host(double cores) { weakest_host_cores_ = cores; }
+  /// From now on another entry hosts the schedulers, if there is one.
   void set_leaving() { leaving_ = true; }
-  /// It is leaving or lost.
+  /// Handles an entry that is leaving or lost.
   void OnGone(const std::string& entry);
-  /// Takes wishes away from gates that fell silent.
+  /// Moves waiting requests away from unresponsive schedulers.
   void Tick();
 
  private:
   struct Pending {
-    SlotAsk ask;
-    std::string gate;
+    SlotAsk request;
+    std::string scheduler;
     bool granted = false;
   };
-  struct Gate {
-    TimePoint heard;
+  struct SchedulerState {
+    TimePoint last_report_time;
     std::vector<GateReport> reports;
   };
 
-  SlotGroup ChooseGroup(const SlotAsk& ask);
-  size_t ServersPerGate() const;
-  std::string GateOf(const std::string& service, const SlotGroup& group) const;
+  SlotGroup ChooseGroup(const SlotAsk& request);
+  size_t MinServersPerScheduler() const;
+  std::string SchedulerFor(const std::string& service,
+                           const SlotGroup& group) const;
   bool IsUp(const std::string& entry) const;
   void Send(Pending& pending);
-  /// Asks again for what the gate has not granted; @return how many
-  size_t AskAgain(const std::string& gate);
+  /// Sends the requests again that the scheduler has not granted.
+  /// @return the number of these requests
+  size_t Resend(const std::string& scheduler);
 
   Options options_;
   const ServerDirectory& directory_;
   const Clock& clock_;
   const EventLog& log_;
   Hooks hooks_;
-  std::map<std::string, Gate> gates_;
+  std::map<std::string, SchedulerState> schedulers_;
   std::map<AttemptId, Pending> pending_;
-  /// Asked of a group since its gate's last report.
-  std::map<std::pair<uint64_t, SlotGroup>, int> asked_;
-  uint32_t turn_ = 0;
-  bool hosts_gates_ = true;
-  double weakest_host_ = 0;
+  /// Requests sent to a group since its scheduler's last report.
+  std::map<std::pair<uint64_t, SlotGroup>, int> requests_since_report_;
+  uint32_t round_robin_ = 0;
+  bool hosts_schedulers_ = true;
+  double weakest_host_cores_ = 0;
   bool leaving_ = false;
 };
 
--- a/lavenderkeel/forward/suspect_runs.h
+++ b/lavenderkeel/forward/suspect_runs.h
@@ -8,47 +8,49 @@
 
 namespace lavenderkeel {
 
-/// Requests at servers under which servers were lost before.
+/// Running requests under which servers were lost before, by server.
 ///
-/// Failure: a harmless request is sent on after its server was lost and meets
-/// the one that ended it again. Symptom: after some such meetings it is blocked
-/// like the other. Of two requests that run apart only one loses its server.
+/// A harmless request that is retried after the loss of its server may run
+/// beside the request that caused the loss again. After some such losses it is
+/// blocked like the other one. If the two run at different servers, only one
+/// loses its server.
 class SuspectRuns {
  public:
-  void Add(uint64_t server, CrashStanding standing) {
-    if (standing == CrashStanding::kClear) {
+  void Add(uint64_t server, CrashStanding suspicion) {
+    if (suspicion == CrashStanding::kClear) {
       return;
     }
     Count& count = servers_[server];
     ++count.all;
-    count.doubtful += standing >= CrashStanding::kDoubtful ? 1 : 0;
+    count.doubtful += suspicion >= CrashStanding::kDoubtful ? 1 : 0;
   }
 
-  /// The reverse of Add.
-  void Remove(uint64_t server, CrashStanding standing) {
+  /// Reverts Add.
+  void Remove(uint64_t server, CrashStanding suspicion) {
     const auto found = servers_.find(server);
-    if (standing == CrashStanding::kClear || found == servers_.end()) {
+    if (suspicion == CrashStanding::kClear || found == servers_.end()) {
       return;
     }
-    found->second.doubtful -= standing >= CrashStanding::kDoubtful ? 1 : 0;
+    found->second.doubtful -= suspicion >= CrashStanding::kDoubtful ? 1 : 0;
     if (--found->second.all <= 0) {
       servers_.erase(found);
     }
   }
 
-  /// A request of that standing may run at the server beside what is there.
-  bool Admits(uint64_t server, CrashStanding standing) const {
-    const Count count = At(server);
-    return standing >= CrashStanding::kDoubtful  ? count.all == 0
-           : standing == CrashStanding::kSuspect ? count.doubtful == 0
-                                                 : true;
+  /// Whether a request of that suspicion may run at the server beside those
+  /// there.
+  bool Admits(uint64_t server, CrashStanding suspicion) const {
+    const Count count = CountAt(server);
+    return suspicion >= CrashStanding::kDoubtful  ? count.all == 0
+           : suspicion == CrashStanding::kSuspect ? count.doubtful == 0
+                                                  : true;
   }
 
-  /// A request does better elsewhere.
-  bool Endangers(uint64_t server, CrashStanding standing) const {
-    const Count count = At(server);
-    return standing == CrashStanding::kClear ? count.doubtful > 0
-                                             : count.all > 0;
+  /// Whether the request should prefer another server.
+  bool ShouldAvoid(uint64_t server, CrashStanding suspicion) const {
+    const Count count = CountAt(server);
+    return suspicion == CrashStanding::kClear ? count.doubtful > 0
+                                              : count.all > 0;
   }
 
   bool empty() const { return servers_.empty(); }
@@ -59,7 +61,7 @@
     int doubtful = 0;
   };
 
-  Count At(uint64_t server) const {
+  Count CountAt(uint64_t server) const {
     const auto found = servers_.find(server);
     return found == servers_.end() ? Count() : found->second;
   }
--- a/lavenderkeel/forward/team_rates.cc
+++ b/lavenderkeel/forward/team_rates.cc
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// A bucket counts what a coordinator passes on apart from its own draws.
+/// A bucket counts the usage that a coordinator relays apart from the
+/// coordinator's own.
 std::string RelayName(const std::string& coordinator) {
   return coordinator + "/relay";
 }
@@ -17,22 +18,22 @@
                                                    double units,
                                                    TimePoint now) {
   TeamBucket& bucket = BucketOf(HashBytes(team.name));
-  const TeamRate aim = TeamBucket::Aim(team.rate, options_.tolerance);
-  const bool joining = share_.Joining(now);
+  const TeamRate target = TeamBucket::TargetRate(team.rate, options_.tolerance);
+  const bool is_joining = share_.Joining(now);
   std::optional<Duration> wait;
-  if (!joining) {
-    wait = bucket.Take(aim, units, share_.At(now), now);
-  } else if (!bucket.TakePart(aim, units, share_.At(now), now)) {
-    wait = share_.joined_by() - now;
+  if (!is_joining) {
+    wait = bucket.Take(target, units, share_.ShareAt(now), now);
+  } else if (!bucket.TakeShare(target, units, share_.ShareAt(now), now)) {
+    wait = share_.join_deadline() - now;
   }
   if (!wait.has_value()) {
     return std::nullopt;
   }
   return Shortage{.wait = *wait,
-                  .undecided = joining,
+                  .undecided = is_joining,
                   .level = bucket.level(),
                   .drawn_here = bucket.used(),
-                  .share = share_.At(now)};
+                  .share = share_.ShareAt(now)};
 }
 
 DrawTotals TeamRates::totals() const {
@@ -48,21 +49,23 @@
 void TeamRates::OnPeerTotals(const std::string& peer,
                              const DrawTotals& totals,
                              TimePoint now) {
-  Count(peer, totals, TeamBucket::FirstTotal::kOld, now);
+  CountTotals(peer, totals, TeamBucket::FirstTotal::kLongRunning, now);
 }
 
 void TeamRates::OnRelayedTotals(const std::string& coordinator,
                                 const DrawTotals& totals,
                                 TimePoint now) {
-  Count(RelayName(coordinator), totals, TeamBucket::FirstTotal::kCounted, now);
+  CountTotals(RelayName(coordinator), totals,
+              TeamBucket::FirstTotal::kAlreadyCounted, now);
 }
 
-void TeamRates::Count(const std::string& source,
-                      const DrawTotals& totals,
-                      TeamBucket::FirstTotal first_when_joined,
-                      TimePoint now) {
+void TeamRates::CountTotals(const std::string& source,
+                            const DrawTotals& totals,
+                            TeamBucket::FirstTotal first_total_after_join,
+                            TimePoint now) {
   const TeamBucket::FirstTotal first =
-      share_.Joining(now) ? TeamBucket::FirstTotal::kRecent : first_when_joined;
+      share_.Joining(now) ? TeamBucket::FirstTotal::kStartedTogether
+                          : first_total_after_join;
   for (const auto& [team, total] : totals) {
     BucketOf(team).OnPeerTotal(source, total, first);
   }
@@ -77,8 +80,9 @@
 
 TeamBucket& TeamRates::BucketOf(uint64_t team) {
   const TeamBucket::Tolerance& tolerance = options_.tolerance;
-  const double unused = tolerance.slack * (1 - tolerance.used_slack);
-  return buckets_.try_emplace(team, started_, unused).first->second;
+  const double initial_level =
+      tolerance.slack * (1 - tolerance.used_fraction_of_slack);
+  return buckets_.try_emplace(team, start_, initial_level).first->second;
 }
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/forward/team_rates.h
+++ b/lavenderkeel/forward/team_rates.h
@@ -14,7 +14,7 @@
 
 namespace lavenderkeel {
 
-/// What each team may still ask for, over all entries.
+/// Rate limits of all teams, over all entries.
 class TeamRates {
  public:
   struct Options {
@@ -22,11 +22,11 @@
     RateShare::Options share;
   };
 
-  /// Why units were not taken, and what was decided on.
+  /// Why units were not taken, and the values behind the decision.
   struct Shortage {
-    /// Until they are there, or until it is known whether they are.
+    /// Time until the units are available, or until that is known.
     Duration wait{};
-    /// This entry does not know yet what the others let through.
+    /// Whether this entry does not know the usage of the others yet.
     bool undecided = false;
     double level = 0;
     double drawn_here = 0;
@@ -35,42 +35,42 @@
     friend bool operator==(const Shortage&, const Shortage&) = default;
   };
 
-  /// @param started when this entry did
-  TeamRates(const Options& options, TimePoint started)
-      : options_(options), started_(started), share_(options.share, started) {}
+  /// @param start start time of this entry
+  TeamRates(const Options& options, TimePoint start)
+      : options_(options), start_(start), share_(options.share, start) {}
 
   /// Takes the units from the team's rate.
-  /// @return nothing if they were there
+  /// @return nothing if the units were available
   std::optional<Shortage> Take(const TeamTerms& team,
                                double units,
                                TimePoint now);
 
-  /// What this entry let through, for the others.
+  /// Units that this entry let through, for reports to the others.
   DrawTotals totals() const;
   void OnPeerTotals(const std::string& peer,
                     const DrawTotals& totals,
                     TimePoint now);
-  /// What a coordinator passes on of other entries' draws.
+  /// Counts the usage of other entries that a coordinator relays.
   void OnRelayedTotals(const std::string& coordinator,
                        const DrawTotals& totals,
                        TimePoint now);
-  /// Of a coordinator also what it passed on.
+  /// Forgets the peer; of a coordinator also the usage that it relayed.
   void ForgetPeer(const std::string& peer);
 
   RateShare& share() { return share_; }
   const RateShare& share() const { return share_; }
 
  private:
-  /// @param first_when_joined how the first total of a source is taken, unless
-  ///     this entry joins together with it
-  void Count(const std::string& source,
-             const DrawTotals& totals,
-             TeamBucket::FirstTotal first_when_joined,
-             TimePoint now);
+  /// @param first_total_after_join how the first total of a source counts,
+  ///     unless this entry is still joining
+  void CountTotals(const std::string& source,
+                   const DrawTotals& totals,
+                   TeamBucket::FirstTotal first_total_after_join,
+                   TimePoint now);
   TeamBucket& BucketOf(uint64_t team);
 
   Options options_;
-  TimePoint started_;
+  TimePoint start_;
   RateShare share_;
   /// By the hash of the team's name.
   std::map<uint64_t, TeamBucket> buckets_;
--- a/lavenderkeel/forward/work_size.h
+++ b/lavenderkeel/forward/work_size.h
@@ -5,20 +5,19 @@
 
 namespace lavenderkeel {
 
-/// What a request asks of a model server, by estimate. Zero: nothing is known,
-/// or it asks for none.
+/// Estimated work of a request for a model server. Zero if unknown or none.
 struct WorkSize {
   uint32_t prompt_tokens = 0;
-  /// Events of the answer.
+  /// Number of events of the answer.
   uint32_t events = 0;
 
   friend bool operator==(const WorkSize&, const WorkSize&) = default;
 };
 
-/// One prompt that a server read.
+/// Measurement of one prompt that a server read.
 struct PromptRead {
   uint32_t tokens = 0;
-  /// From the sending to the first event, in milliseconds.
+  /// Milliseconds from sending the request to the first event.
   double ms = 0;
 
   friend bool operator==(const PromptRead&, const PromptRead&) = default;
--- a/test/forward/draw_relay_test.cc
+++ b/test/forward/draw_relay_test.cc
@@ -10,7 +10,7 @@
 const PeerId kFirst{.instance = "a", .incarnation = 1};
 const PeerId kSecond{.instance = "b", .incarnation = 1};
 
-double Told(const DrawRelay& relay, const PeerId& entry) {
+double RelayedTotal(const DrawRelay& relay, const PeerId& entry) {
   for (const auto& [team, total] : relay.For(entry, /*all=*/true)) {
     if (team == kTeam) {
       return total;
@@ -21,43 +21,44 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(EntryIsToldOfTheOthersDrawsOnly) {
+BOOST_AUTO_TEST_CASE(EntryGetsOnlyUsageOfOthers) {
   DrawRelay relay;
   relay.OnTotals(kFirst, {}, /*passes_on=*/true);
   relay.OnTotals(kSecond, {}, true);
   relay.OnTotals(kFirst, {{kTeam, 30}}, true);
   relay.OnTotals(kSecond, {{kTeam, 5}}, true);
-  BOOST_TEST(Told(relay, kFirst) == 5);
-  BOOST_TEST(Told(relay, kSecond) == 30);
-  BOOST_TEST(Told(relay, {.instance = "c"}) == 35);
+  BOOST_TEST(RelayedTotal(relay, kFirst) == 5);
+  BOOST_TEST(RelayedTotal(relay, kSecond) == 30);
+  BOOST_TEST(RelayedTotal(relay, {.instance = "c"}) == 35);
 }
 
-// Another coordinator died, and this one speaks for its entries now. What they
-// drew before is counted everywhere; told once more, it would empty the team's
-// rate and its callers would see 429 for nothing.
-BOOST_AUTO_TEST_CASE(WhatAnotherPassedOnIsNotCountedAgain) {
+// Another coordinator died, and this one relays for its entries now. Their
+// earlier usage is counted everywhere; relayed again, it would use up the
+// team's rate, and its callers would get 429 without cause.
+BOOST_AUTO_TEST_CASE(UsageRelayedByAnotherIsNotCountedAgain) {
   DrawRelay relay;
   relay.OnTotals(kFirst, {{kTeam, 1000}}, false);
   relay.OnTotals(kFirst, {{kTeam, 1200}}, false);
   relay.OnTotals(kFirst, {{kTeam, 1250}}, true);
-  BOOST_TEST(Told(relay, kSecond) == 50);
+  BOOST_TEST(RelayedTotal(relay, kSecond) == 50);
 }
 
-// An entry is cut off and comes back as it was. Its own draws are still left
-// out of what it is told, else its teams would pay for them twice.
-BOOST_AUTO_TEST_CASE(OwnDrawsStayOutAfterACut) {
+// An entry is disconnected and reconnects with its state. Its own usage must
+// still be excluded from its totals, otherwise its teams would be charged
+// twice.
+BOOST_AUTO_TEST_CASE(OwnUsageStaysExcludedAfterReconnect) {
   DrawRelay relay;
   relay.OnTotals(kFirst, {}, true);
   relay.OnTotals(kFirst, {{kTeam, 80}}, true);
-  BOOST_TEST(Told(relay, kFirst) == 0);
+  BOOST_TEST(RelayedTotal(relay, kFirst) == 0);
   const PeerId successor{.instance = "a", .incarnation = 2};
   relay.OnTotals(successor, {{kTeam, 10}}, true);
   relay.OnTotals(successor, {{kTeam, 15}}, true);
-  BOOST_TEST(Told(relay, successor) == 80);
-  BOOST_TEST(Told(relay, kSecond) == 85);
+  BOOST_TEST(RelayedTotal(relay, successor) == 80);
+  BOOST_TEST(RelayedTotal(relay, kSecond) == 85);
 }
 
-BOOST_AUTO_TEST_CASE(OnlyChangesAreToldBetweenWholeReports) {
+BOOST_AUTO_TEST_CASE(OnlyChangesAreSentBetweenFullReports) {
   DrawRelay relay;
   relay.OnTotals(kFirst, {}, true);
   relay.OnTotals(kFirst, {{kTeam, 1}, {kTeam + 1, 1}}, true);
--- a/test/forward/fleet_test.cc
+++ b/test/forward/fleet_test.cc
@@ -12,22 +12,24 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Messages that a weak entry of a fleet at rest sends and receives a second.
-uint64_t MessagesAtRest(int entries, const CoordinatorRules& rules = {}) {
+/// Highest number of messages that a weak entry of an idle fleet sends and
+/// receives in a second.
+uint64_t MaxIdleMessagesPerSecond(int entries,
+                                  const CoordinatorRules& rules = {}) {
   FleetWorld::Options options = {.entries = entries, .strong = 10};
   options.node.exchange.roster.coordinators = rules;
   FleetWorld fleet(options);
   fleet.Advance(seconds(4));
   fleet.ResetCounts();
   fleet.Advance(seconds(1));
-  uint64_t most = 0;
+  uint64_t max_messages = 0;
   for (int i = 10; i < entries; ++i) {
-    most = std::max(most, fleet.Sent(i) + fleet.Received(i));
+    max_messages = std::max(max_messages, fleet.Sent(i) + fleet.Received(i));
   }
-  return most;
+  return max_messages;
 }
 
-int HearingOfAll(FleetWorld& fleet, const std::vector<int>& entries) {
+int CountFullyConnected(FleetWorld& fleet, const std::vector<int>& entries) {
   const EntryExchange::Counts all = {.known = entries.size(),
                                      .heard = entries.size()};
   return static_cast<int>(std::ranges::count_if(entries, [&](int entry) {
@@ -43,8 +45,8 @@
   return range;
 }
 
-/// Entries of 60 that know that a server is leaving.
-int KnowOfLeaving(FleetWorld& fleet) {
+/// Number of running entries of 60 that know that the server is draining.
+int CountWithoutUsableServer(FleetWorld& fleet) {
   return static_cast<int>(std::ranges::count_if(Range(0, 60), [&](int entry) {
     return fleet.runs(entry) &&
            fleet.node(entry).directory().Usable("engines").empty();
@@ -53,79 +55,82 @@
 
 }  // namespace
 
-// Load: a fleet at rest. Where each entry of 100 reports to each other, it
+// In an idle fleet of 100 where every entry reports to every other, an entry
 // sends and receives 2,485 messages a second; with ten coordinators 250.
-BOOST_AUTO_TEST_CASE(MessagesOfAnEntryDoNotGrowWithTheFleet) {
-  const uint64_t few = MessagesAtRest(100);
-  const uint64_t many = MessagesAtRest(150);
+BOOST_AUTO_TEST_CASE(MessagesPerEntryDoNotGrowWithFleet) {
+  const uint64_t messages_of_100 = MaxIdleMessagesPerSecond(100);
+  const uint64_t messages_of_150 = MaxIdleMessagesPerSecond(150);
   // Ten reports a second to each of 99 others and as many from each, without
   // heartbeats.
   constexpr uint64_t kAllToAll = uint64_t{2} * 10 * 99;
-  BOOST_TEST_MESSAGE("messages a second: " << few << " and " << many);
+  BOOST_TEST_MESSAGE("messages a second: " << messages_of_100 << " and "
+                                           << messages_of_150);
   // Ten coordinators, ten reports a second each way, a heartbeat a second.
-  BOOST_TEST(many <= 2 * 10 * 10 + 5 * 10);
-  BOOST_TEST(many <= few + few / 5);
-  BOOST_TEST(few * 5 < kAllToAll);
+  BOOST_TEST(messages_of_150 <= 2 * 10 * 10 + 5 * 10);
+  BOOST_TEST(messages_of_150 <= messages_of_100 + messages_of_100 / 5);
+  BOOST_TEST(messages_of_100 * 5 < kAllToAll);
 }
 
-// All entries are killed and start together. Until an entry hears of all, it
-// lets through only a part of each team's rate, so callers would see 429.
-BOOST_AUTO_TEST_CASE(LargeFleetKnowsItselfSoonAfterItsStart) {
+// All entries are killed and start together. Until an entry receives reports
+// from all, it lets through only a part of each team's rate, so callers would
+// get 429.
+BOOST_AUTO_TEST_CASE(LargeFleetConnectsSoonAfterStart) {
   FleetWorld fleet({.entries = 103, .strong = 15});
   fleet.Advance(milliseconds(700));
-  BOOST_TEST(HearingOfAll(fleet, Range(0, 103)) == 103);
-  const std::set<std::string> chosen =
+  BOOST_TEST(CountFullyConnected(fleet, Range(0, 103)) == 103);
+  const std::set<std::string> expected_coordinators =
       fleet.node(0).exchange().roster().coordinators();
   for (const int entry : Range(0, 103)) {
-    BOOST_TEST(fleet.node(entry).exchange().roster().coordinators() == chosen);
+    BOOST_TEST(fleet.node(entry).exchange().roster().coordinators() ==
+               expected_coordinators);
   }
 }
 
-// Load: a fleet of 100 that starts, as after all lost power. Both ends of both
-// connections of every pair sent the list of all: 332,180 entries were told of.
-// Each end tells the other once now: 118,726.
-BOOST_AUTO_TEST_CASE(EachEndOfAPairSendsItsListOnce) {
+// A fleet of 100 starts, as after a power failure. If both peers of each pair
+// sent the full list on both connections, 332,180 list entries would be sent.
+// Each peer must send it once: 118,726.
+BOOST_AUTO_TEST_CASE(EachPeerOfAPairSendsItsListOnce) {
   constexpr uint64_t kEntries = 100;
   constexpr uint64_t kSeeds = 3;
   FleetWorld fleet({.entries = kEntries, .strong = 15, .seeds = kSeeds});
   fleet.Advance(milliseconds(700));
-  BOOST_TEST_MESSAGE("entries told of: " << fleet.entries_told());
-  BOOST_TEST(HearingOfAll(fleet, Range(0, kEntries)) == 100);
+  BOOST_TEST_MESSAGE("list entries sent: " << fleet.entries_told());
+  BOOST_TEST(CountFullyConnected(fleet, Range(0, kEntries)) == 100);
   const uint64_t coordinators =
       fleet.node(0).exchange().roster().coordinators().size();
   const uint64_t pairs = coordinators * kEntries;
-  // And each seed tells all of each newcomer.
+  // In addition, each seed sends the list of all to each new entry.
   BOOST_TEST(fleet.entries_told() <=
              2 * pairs * kEntries + kSeeds * kEntries * kEntries);
 }
 
-// All coordinators die at once. Clients of the others are refused nothing for
-// longer than it takes to notice: the next entries in order take over.
-BOOST_AUTO_TEST_CASE(OthersTakeOverFromLostCoordinators) {
+// All coordinators die at once. The next entries in order must take over, so
+// that clients are refused no longer than the detection takes.
+BOOST_AUTO_TEST_CASE(OtherEntriesReplaceLostCoordinators) {
   FleetWorld fleet({.entries = 40, .strong = 6, .seeds = 6});
   fleet.Advance(seconds(2));
   for (const int entry : Range(0, 6)) {
     fleet.Kill(entry);
   }
   fleet.Advance(seconds(14));
-  BOOST_TEST(HearingOfAll(fleet, Range(6, 40)) == 34);
+  BOOST_TEST(CountFullyConnected(fleet, Range(6, 40)) == 34);
 }
 
-BOOST_AUTO_TEST_CASE(RestartedCoordinatorIsKnownAgain) {
+BOOST_AUTO_TEST_CASE(RestartedCoordinatorReconnects) {
   FleetWorld fleet({.entries = 40, .strong = 6});
   fleet.Advance(seconds(2));
   fleet.Kill(0);
   fleet.Advance(seconds(3));
   fleet.Start(0);
   fleet.Advance(seconds(2));
-  BOOST_TEST(HearingOfAll(fleet, Range(0, 40)) == 40);
+  BOOST_TEST(CountFullyConnected(fleet, Range(0, 40)) == 40);
 }
 
-// Load: servers that change one after the other, as in a release. Each entry
-// that reads every change from the store is paid for: 60 entries made 60 reads
-// a change. Only the coordinators read, and all know of it in time to send a
-// leaving server nothing more.
-BOOST_AUTO_TEST_CASE(ChangesOfServersAreReadByCoordinatorsOnly) {
+// Servers change one after the other, as in a release. If every entry read
+// every change from the store, 60 entries would make 60 reads a change. Only
+// the coordinators may read, and all entries must know in time to send a
+// leaving server no more requests.
+BOOST_AUTO_TEST_CASE(OnlyCoordinatorsReadServerChanges) {
   FleetWorld fleet({.entries = 60, .strong = 8});
   fleet.Advance(seconds(3));
   fleet.ResetCounts();
@@ -134,14 +139,14 @@
     fleet.PutServer("s", /*draining=*/change % 2 == 0);
     fleet.Advance(seconds(1));
   }
-  BOOST_TEST(KnowOfLeaving(fleet) == 60);
-  // A read a change and coordinator, and renewals of its two watches.
+  BOOST_TEST(CountWithoutUsableServer(fleet) == 60);
+  // One read per change and coordinator, and renewals of its two watches.
   BOOST_TEST(fleet.store_reads() <= 8U * (kChanges + 2 * 2));
 }
 
-// The coordinators die while a server leaves. The others read the store
-// themselves until there are new ones, so the server gets nothing more.
-BOOST_AUTO_TEST_CASE(ServersAreKnownThoughAllCoordinatorsDie) {
+// The coordinators die while a server leaves. The others must read the store
+// until there are new ones, so that the server gets no more requests.
+BOOST_AUTO_TEST_CASE(ServerChangesArriveThoughAllCoordinatorsDie) {
   FleetWorld fleet({.entries = 60, .strong = 8, .seeds = 10});
   fleet.Advance(seconds(3));
   for (const int entry : Range(0, 8)) {
@@ -149,12 +154,12 @@
   }
   fleet.PutServer("s", /*draining=*/true);
   fleet.Advance(seconds(1));
-  BOOST_TEST(KnowOfLeaving(fleet) == 52);
+  BOOST_TEST(CountWithoutUsableServer(fleet) == 52);
 }
 
-// The store is away while a server leaves; all entries know soon after its
-// return, and meanwhile only the coordinators ask for it.
-BOOST_AUTO_TEST_CASE(StoreIsAskedForByCoordinatorsWhileItIsAway) {
+// A server leaves while the store is unavailable. All entries must know soon
+// after its return, and until then only the coordinators may retry.
+BOOST_AUTO_TEST_CASE(OnlyCoordinatorsRetryDuringStoreOutage) {
   FleetWorld fleet({.entries = 60, .strong = 8});
   fleet.Advance(seconds(3));
   fleet.set_store_down(true);
@@ -165,19 +170,20 @@
   fleet.set_store_down(false);
   fleet.PutServer("s", /*draining=*/true);
   fleet.Advance(seconds(1));
-  BOOST_TEST(KnowOfLeaving(fleet) == 60);
+  BOOST_TEST(CountWithoutUsableServer(fleet) == 60);
   BOOST_TEST_MESSAGE("reads in two seconds without the store: " << reads);
-  // Twice the shortest pause between tries that fail, of eight.
+  // Twice the reads at the shortest pause between failed attempts, for eight
+  // coordinators.
   BOOST_TEST(reads <= 8U * 2 * 2 * 10);
 }
 
-// A team floods a fleet at six times its rate. Its callers get what it may ask
-// for, over all entries together, and 429 beyond: entries that are no
-// coordinators hear of each other's draws through one.
-BOOST_AUTO_TEST_CASE(RateOfATeamHoldsOverALargeFleet) {
+// A team requests six times its rate. It must get its rate over all entries
+// together, and 429 beyond: entries that are not coordinators receive each
+// other's usage through one.
+BOOST_AUTO_TEST_CASE(TeamRateHoldsOverLargeFleet) {
   constexpr double kRate = 200;
   constexpr double kBurst = 100;
-  // What the users tolerate, of requests of a usual size.
+  // Tolerated by the users, for requests of a usual size.
   constexpr double kOver = 0.1;
   constexpr double kSlack = 50;
   FleetWorld::Options options = {
@@ -207,9 +213,9 @@
   BOOST_TEST(passed >= rate);
 }
 
-// Load: the start of a fleet before many servers. An entry reports several
-// times before a long list has reached it, and gets the list again each time.
-BOOST_AUTO_TEST_CASE(ListIsSentOnceToAnEntryThatHasNotReadItYet) {
+// A fleet starts with many servers. An entry reports several times before a
+// long server list has reached it, and must not get the list again each time.
+BOOST_AUTO_TEST_CASE(ServerListIsNotResentWhileInTransit) {
   constexpr uint64_t kServers = 200;
   constexpr uint64_t kFollowers = 20;
   FleetWorld fleet({.entries = 30,
@@ -223,8 +229,8 @@
   }
   fleet.Advance(seconds(4));
   BOOST_TEST(fleet.node(29).directory().Usable("engines").size() == kServers);
-  // Each change may reach an entry from the coordinator that it relied on and,
-  // if another had it first, from that one too.
+  // Each change may reach an entry from the coordinator that it used and, if
+  // another had it first, from that one too.
   BOOST_TEST(fleet.servers_told() <= 2 * kServers * kFollowers);
 }
 
--- a/test/forward/long_requests_test.cc
+++ b/test/forward/long_requests_test.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(LongRequestsGoLastUntilTheirChanceHasFallen) {
+BOOST_AUTO_TEST_CASE(LongRequestsGoLastUntilTheirGrantedFractionFalls) {
   LongRequests requests;
   BOOST_TEST(requests.GoLast());
   for (int i = 0; i < 50; ++i) {
@@ -31,7 +31,7 @@
     ++refused;
     BOOST_REQUIRE(refused < 20);
   }
-  // Now they get slots again, and in the end go last as before.
+  // Long requests get slots again, and in the end go last as before.
   int granted = 0;
   while (!requests.GoLast()) {
     requests.OnEndOfWait(/*is_long=*/true, /*got_slot=*/true);
@@ -40,9 +40,9 @@
   }
 }
 
-// Everybody is refused in an outage: that makes the long ones no worse off than
-// the others.
-BOOST_AUTO_TEST_CASE(OutageForAllChangesNothing) {
+// In an outage all requests are refused, which puts the long ones at no
+// disadvantage.
+BOOST_AUTO_TEST_CASE(OutageForAllRequestsChangesNothing) {
   LongRequests requests;
   for (int i = 0; i < 500; ++i) {
     requests.OnEndOfWait(/*is_long=*/i % 15 == 0, /*got_slot=*/false);
@@ -52,17 +52,17 @@
 
 namespace {
 
-struct Served {
+struct BurstResult {
   int in_time = 0;
-  int all = 0;
+  int total = 0;
   int long_in_time = 0;
-  int all_long = 0;
+  int total_long = 0;
 };
 
-/// Plays a burst of 20 s: 60 requests a second for answers of 16 events in the
-/// middle and spread by a factor of 4.5, of 25 ms each, before 40 slots, which
-/// would do for some 35 a second. Clients wait for 1.4 s.
-Served PlayBurst(bool by_length) {
+/// Simulates a burst of 20 s: 60 requests a second for answers with a median of
+/// 16 events, spread by a factor of 4.5, of 25 ms each, at 40 slots, which
+/// suffice for some 35 requests a second. Clients wait for 1.4 s.
+BurstResult SimulateBurst(bool by_length) {
   fuzz::VirtualClock clock;
   ServerDirectory directory;
   for (int i = 0; i < 4; ++i) {
@@ -72,24 +72,24 @@
   struct Request {
     int events = 0;
     bool is_long = false;
-    TimePoint came;
+    TimePoint arrived;
     TimePoint ends;
-    bool waits = true;
+    bool waiting = true;
   };
   std::map<AttemptId, Request> requests;
   LongRequests long_requests;
-  Served served;
+  BurstResult result;
   constexpr double kEventMilliseconds = 25;
   const Duration target = milliseconds(250);
-  SlotGate gate(
+  SlotGate scheduler(
       {}, directory, clock, [&](const std::string&, const SlotGrant& grant) {
         Request& request = requests.at(grant.attempt);
-        request.waits = false;
+        request.waiting = false;
         request.ends = clock.Now() +
                        FromSeconds(request.events * kEventMilliseconds / 1000);
-        const bool in_time = clock.Now() - request.came < target;
-        served.in_time += in_time ? 1 : 0;
-        served.long_in_time += in_time && request.is_long ? 1 : 0;
+        const bool in_time = clock.Now() - request.arrived < target;
+        result.in_time += in_time ? 1 : 0;
+        result.long_in_time += in_time && request.is_long ? 1 : 0;
         long_requests.OnEndOfWait(request.is_long, true);
       });
   std::mt19937 random(7);
@@ -101,54 +101,54 @@
     const int events = std::clamp(static_cast<int>(length(random)), 1, 490);
     const bool is_long = events > 150;
     requests[++last] = {
-        .events = events, .is_long = is_long, .came = clock.Now()};
-    ++served.all;
-    served.all_long += is_long ? 1 : 0;
+        .events = events, .is_long = is_long, .arrived = clock.Now()};
+    ++result.total;
+    result.total_long += is_long ? 1 : 0;
     const bool goes_last = is_long && long_requests.GoLast();
-    gate.Ask("entry", {.attempt = last,
-                       .service = "engines",
-                       .model_server = true,
-                       .route_priority = by_length && goes_last ? 1 : 0,
-                       .in_time_until = clock.Now() + target,
-                       .due = clock.Now() + std::chrono::seconds(12),
-                       .size = {.events = static_cast<uint32_t>(events)},
-                       .event_gap_target = target,
-                       .by_length = by_length && (!is_long || goes_last)});
+    scheduler.Ask("entry", {.attempt = last,
+                            .service = "engines",
+                            .model_server = true,
+                            .route_priority = by_length && goes_last ? 1 : 0,
+                            .in_time_until = clock.Now() + target,
+                            .due = clock.Now() + std::chrono::seconds(12),
+                            .size = {.events = static_cast<uint32_t>(events)},
+                            .event_gap_target = target,
+                            .by_length = by_length && (!is_long || goes_last)});
     clock.Advance(step);
     for (auto request = requests.begin(); request != requests.end();) {
       const AttemptId attempt = request->first;
-      const Request state = request->second;
-      const bool gives_up =
-          state.waits && clock.Now() - state.came > milliseconds(1400);
-      const bool ends = !state.waits && clock.Now() >= state.ends;
+      const Request current = request->second;
+      const bool times_out =
+          current.waiting && clock.Now() - current.arrived > milliseconds(1400);
+      const bool ends = !current.waiting && clock.Now() >= current.ends;
       ++request;
-      if (gives_up) {
-        long_requests.OnEndOfWait(state.is_long, false);
+      if (times_out) {
+        long_requests.OnEndOfWait(current.is_long, false);
       }
-      if (gives_up || ends) {
-        gate.Done("entry", attempt,
-                  {.kind = ends ? SlotResult::Kind::kAnswered
-                                : SlotResult::Kind::kUnused,
-                   .pace_ms = ends ? std::optional(kEventMilliseconds)
-                                   : std::nullopt});
+      if (times_out || ends) {
+        scheduler.Done("entry", attempt,
+                       {.kind = ends ? SlotResult::Kind::kAnswered
+                                     : SlotResult::Kind::kUnused,
+                        .pace_ms = ends ? std::optional(kEventMilliseconds)
+                                        : std::nullopt});
         requests.erase(attempt);
       }
     }
   }
-  return served;
+  return result;
 }
 
 }  // namespace
 
-// In a burst far beyond the capacity clients of long answers hold the slots
-// that many others wait for. In the order of lengths half as many again are in
-// time, and the clients of long answers still have half of the chance of all.
-BOOST_AUTO_TEST_CASE(BurstServesMoreClientsInOrderOfLength) {
-  const Served plain = PlayBurst(/*by_length=*/false);
-  const Served ordered = PlayBurst(/*by_length=*/true);
-  BOOST_TEST(5 * ordered.in_time > 6 * plain.in_time);
-  BOOST_TEST(2 * ordered.long_in_time * ordered.all >=
-             ordered.in_time * ordered.all_long);
+// In a burst far beyond the capacity, long answers hold the slots that many
+// others wait for. In the order of lengths half as many again are in time, and
+// long requests must keep half of the chance of all.
+BOOST_AUTO_TEST_CASE(OrderByLengthServesMoreClientsInBurst) {
+  const BurstResult unordered = SimulateBurst(/*by_length=*/false);
+  const BurstResult ordered = SimulateBurst(/*by_length=*/true);
+  BOOST_TEST(5 * ordered.in_time > 6 * unordered.in_time);
+  BOOST_TEST(2 * ordered.long_in_time * ordered.total >=
+             ordered.in_time * ordered.total_long);
 }
 
 }  // namespace lavenderkeel
--- a/test/forward/plain_overload_test.cc
+++ b/test/forward/plain_overload_test.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "lavenderkeel/forward/high_quantile.h"
-#include "test/forward/gate_harness.h"
+#include "test/forward/scheduler_harness.h"
 
 namespace lavenderkeel {
 
@@ -16,18 +16,19 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Plain servers that work on some requests at once and keep a few more.
+/// Simulated plain servers that process some requests at once and queue a few
+/// more.
 class PlainServers {
  public:
   struct Options {
     int servers = 2;
     int slots = 6;
-    Duration work = milliseconds(60);
+    Duration work_time = milliseconds(60);
     double requests_per_second = 250;
   };
 
   struct Result {
-    int asked = 0;
+    int total = 0;
     int in_time = 0;
     int late = 0;
     int refused = 0;
@@ -45,14 +46,14 @@
     harness_.directory.ApplyList(servers, harness_.clock.Now());
   }
 
-  Result Play(Duration duration) {
+  Result Simulate(Duration duration) {
     const TimePoint end = harness_.clock.Now() + duration;
     TimePoint next = harness_.clock.Now();
     std::exponential_distribution<> gap(options_.requests_per_second);
     while (harness_.clock.Now() < end) {
       while (harness_.clock.Now() >= next) {
         next += FromSeconds(gap(random_));
-        Ask();
+        SendRequest();
       }
       Step();
       harness_.clock.Advance(milliseconds(1));
@@ -62,7 +63,7 @@
 
  private:
   static constexpr Duration kTarget = milliseconds(300);
-  static constexpr Duration kLongestWait = milliseconds(600);
+  static constexpr Duration kMaxWait = milliseconds(600);
 
   struct Request {
     TimePoint arrived;
@@ -71,12 +72,12 @@
     TimePoint ends;
   };
 
-  void Ask() {
+  void SendRequest() {
     const AttemptId id = ++last_;
     const TimePoint now = harness_.clock.Now();
     requests_[id] = {.arrived = now};
-    ++result_.asked;
-    harness_.gate.Ask(
+    ++result_.total;
+    harness_.scheduler.Ask(
         "e",
         {.attempt = id,
          .service = "plain",
@@ -86,7 +87,7 @@
 
   void Step() {
     const TimePoint now = harness_.clock.Now();
-    harness_.gate.Tick();
+    harness_.scheduler.Tick();
     for (const auto& [id, server] : harness_.granted) {
       requests_[id].sent = now;
       queues_[server].push_back(id);
@@ -95,14 +96,14 @@
     for (auto& [server, queue] : queues_) {
       Run(queue);
     }
-    std::vector<AttemptId> waited;
+    std::vector<AttemptId> timed_out;
     for (const auto& [id, request] : requests_) {
-      if (request.sent == TimePoint() && now - request.arrived > kLongestWait) {
-        waited.push_back(id);
+      if (request.sent == TimePoint() && now - request.arrived > kMaxWait) {
+        timed_out.push_back(id);
       }
     }
-    for (const AttemptId id : waited) {
-      harness_.gate.Done("e", id, {});
+    for (const AttemptId id : timed_out) {
+      harness_.scheduler.Done("e", id, {});
       requests_.erase(id);
       ++result_.refused;
     }
@@ -119,8 +120,8 @@
       Request& request = requests_[id];
       if (!request.running) {
         request.running = true;
-        request.ends =
-            now + FromSeconds(ToSeconds(options_.work) * spread_(random_));
+        request.ends = now + FromSeconds(ToSeconds(options_.work_time) *
+                                         work_factor_(random_));
       }
       if (now >= request.ends) {
         ended.push_back(id);
@@ -138,13 +139,13 @@
     requests_.erase(id);
     answer_ms_.Add(ToFractionalMilliseconds(now - request.sent));
     ++(now - request.arrived <= kTarget ? result_.in_time : result_.late);
-    harness_.gate.Done("e", id, {.kind = SlotResult::Kind::kAnswered});
+    harness_.scheduler.Done("e", id, {.kind = SlotResult::Kind::kAnswered});
   }
 
   Options options_;
-  GateHarness harness_;
+  SchedulerHarness harness_;
   std::mt19937_64 random_{1};
-  std::lognormal_distribution<> spread_{-0.12, 0.5};
+  std::lognormal_distribution<> work_factor_{-0.12, 0.5};
   std::map<AttemptId, Request> requests_;
   std::map<std::string, std::deque<AttemptId>> queues_;
   HighQuantile answer_ms_;
@@ -154,27 +155,27 @@
 
 }  // namespace
 
-// Load: a quarter more plain work than its servers can do. Where the oldest
-// goes first each waits until it is just too late.
-BOOST_AUTO_TEST_CASE(MostAreInTimeThoughMoreComesThanCanBeDone) {
+// A quarter more plain work than the servers can do. If the oldest request went
+// first, each would wait until it is just too late.
+BOOST_AUTO_TEST_CASE(MostRequestsAreInTimeUnderOverload) {
   PlainServers servers({});
-  const PlainServers::Result result = servers.Play(seconds(20));
-  BOOST_TEST_MESSAGE("asked " << result.asked << " in time " << result.in_time
-                              << " late " << result.late << " refused "
-                              << result.refused);
-  // 200 a second can be done; nine in ten of these are to be in time.
-  constexpr int kCanBeDone = 200 * 20;
-  BOOST_TEST(result.in_time * 10 >= kCanBeDone * 9);
+  const PlainServers::Result result = servers.Simulate(seconds(20));
+  BOOST_TEST_MESSAGE("requests " << result.total << " in time "
+                                 << result.in_time << " late " << result.late
+                                 << " refused " << result.refused);
+  // The capacity is 200 a second; nine in ten of these must be in time.
+  constexpr int kCapacity = 200 * 20;
+  BOOST_TEST(result.in_time * 10 >= kCapacity * 9);
 }
 
-// Load: as much plain work as can be done. Nobody waits in vain.
-BOOST_AUTO_TEST_CASE(AllAreServedWhereTheWorkCanBeDone) {
+// Plain work within the capacity: requests must not wait past their target.
+BOOST_AUTO_TEST_CASE(AllRequestsAreInTimeWithinCapacity) {
   PlainServers servers({.requests_per_second = 160});
-  const PlainServers::Result result = servers.Play(seconds(20));
-  BOOST_TEST_MESSAGE("asked " << result.asked << " in time " << result.in_time
-                              << " late " << result.late << " refused "
-                              << result.refused);
-  BOOST_TEST(result.in_time * 100 >= result.asked * 99);
+  const PlainServers::Result result = servers.Simulate(seconds(20));
+  BOOST_TEST_MESSAGE("requests " << result.total << " in time "
+                                 << result.in_time << " late " << result.late
+                                 << " refused " << result.refused);
+  BOOST_TEST(result.in_time * 100 >= result.total * 99);
 }
 
 }  // namespace lavenderkeel
--- a/test/forward/retry_window_test.cc
+++ b/test/forward/retry_window_test.cc
@@ -15,11 +15,10 @@
 
 }  // namespace
 
-// Every request fails and each is to be sent again. In whatever window one
-// looks, no more go out than the share of the requests and the extra. Requests
-// count in that window, in the one before or half a window before, since a
-// retry follows its request.
-BOOST_AUTO_TEST_CASE(NoWindowHasMoreRetriesThanItsBound) {
+// Every request fails and is to be retried. No window may contain more retries
+// than the ratio of its requests and the extra. Requests count in that window,
+// in the one before or half a window before, since a retry follows its request.
+BOOST_AUTO_TEST_CASE(NoWindowExceedsItsRetryBound) {
   rc::check([] {
     RetryWindow window({.window = kWindow, .ratio = 0.2, .extra = 5});
     TimePoint now = kStart;
@@ -47,7 +46,7 @@
   });
 }
 
-BOOST_AUTO_TEST_CASE(ExtraIsThereAgainAfterAWindow) {
+BOOST_AUTO_TEST_CASE(ExtraRetryIsAvailableAgainAfterOneWindow) {
   RetryWindow window(
       {.window = std::chrono::seconds(1), .ratio = 0, .extra = 1});
   BOOST_TEST(window.TryRetry(kStart));
--- /dev/null
+++ b/test/forward/scheduler_harness.h
@@ -0,0 +1,33 @@
+#ifndef LAVENDERKEEL_TEST_FORWARD_SCHEDULER_HARNESS_H_
+#define LAVENDERKEEL_TEST_FORWARD_SCHEDULER_HARNESS_H_
+
+#include <map>
+#include <string>
+
+#include "lavenderkeel/forward/slot_gate.h"
+#include "test/fuzz/virtual_clock.h"
+
+namespace lavenderkeel {
+
+/// Scheduler under a virtual clock that records its grants.
+struct SchedulerHarness {
+  /// @return "none" for a request that has not been granted
+  std::string ServerOf(AttemptId attempt) const {
+    const auto found = granted.find(attempt);
+    return found == granted.end() ? "none" : found->second;
+  }
+
+  fuzz::VirtualClock clock;
+  ServerDirectory directory;
+  std::map<AttemptId, std::string> granted;
+  SlotGate scheduler{{},
+                     directory,
+                     clock,
+                     [this](const std::string&, const SlotGrant& grant) {
+                       granted[grant.attempt] = grant.server;
+                     }};
+};
+
+}  // namespace lavenderkeel
+
+#endif  // LAVENDERKEEL_TEST_FORWARD_SCHEDULER_HARNESS_H_
--- a/test/forward/server_directory_test.cc
+++ b/test/forward/server_directory_test.cc
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(DrainingAndRemovedServersGetNothingAtOnce) {
+BOOST_AUTO_TEST_CASE(DrainingAndRemovedServersAreUnusableAtOnce) {
   ServerDirectory directory;
   directory.ApplyList({Server("a"), Server("b")}, kStart);
   BOOST_TEST(directory.Usable("s").size() == 2U);
@@ -31,30 +31,30 @@
   BOOST_TEST(directory.Usable("t").empty());
 }
 
-// A server crashes and starts again under its id, before its entry lapsed.
-// What was granted and learned of the former start names that one only, so
-// nothing of it passes to the new one, which knows nothing of before.
-BOOST_AUTO_TEST_CASE(ServerThatStartedAgainIsAnother) {
+// A server crashes and restarts under its id before its list entry expires.
+// Grants and measurements of the former incarnation must not apply to the new
+// one, which knows nothing of them.
+BOOST_AUTO_TEST_CASE(RestartedServerIsADifferentServer) {
   ServerDirectory directory;
   BackendServer server = Server("a");
   server.born = 1000;
-  const std::string former = server.start_key();
+  const std::string previous = server.start_key();
   directory.Apply(server);
-  BOOST_TEST(directory.Find(former) != nullptr);
+  BOOST_TEST(directory.Find(previous) != nullptr);
   server.born = 2000;
   directory.Apply(server);
-  BOOST_TEST(directory.Find(former) == nullptr);
+  BOOST_TEST(directory.Find(previous) == nullptr);
   BOOST_TEST(directory.Find(server.start_key())->id == "a");
   BOOST_TEST(directory.Usable("s").size() == 1U);
-  // A beat without a start is another writer's or an older server's; it
-  // replaces what was known all the same.
+  // A heartbeat without a start time is from another writer or an older server;
+  // it replaces the known incarnation all the same.
   directory.Apply(Server("a"));
   BOOST_TEST(directory.Usable("s").size() == 1U);
   directory.Remove("a", kStart);
   BOOST_TEST(directory.Usable("s").empty());
 }
 
-BOOST_AUTO_TEST_CASE(ServerThatStartedAgainIsNotMissingFromTheList) {
+BOOST_AUTO_TEST_CASE(RestartedServerIsNotMissingFromTheList) {
   ServerDirectory directory;
   BackendServer server = Server("a");
   server.born = 1000;
@@ -64,11 +64,11 @@
   BOOST_TEST(directory.Usable("s").size() == 1U);
 }
 
-// The store is away while the entries of live servers lapse; with its return
-// the list is empty. Callers are served on, since the servers are kept until
-// they have had time to be listed again.
-BOOST_AUTO_TEST_CASE(ServersThatLapsedInAnOutageAreKeptUntilRelisted) {
-  ServerDirectory directory({.relist_time = milliseconds(1900)});
+// The list entries of live servers expire while the store is unavailable, so
+// the list is empty when it returns. The servers must stay usable until they
+// have had time to be listed again.
+BOOST_AUTO_TEST_CASE(ServersLapsedInOutageAreKeptUntilRelisted) {
+  ServerDirectory directory({.relist_timeout = milliseconds(1900)});
   directory.ApplyList({Server("a"), Server("b")}, kStart);
   directory.OnOutage();
   directory.OnReturn(kStart);
@@ -83,9 +83,9 @@
   BOOST_TEST((directory.Find("b") == nullptr));
 }
 
-// This entry was cut off from the store while one server of three left. Its
-// requests must not go there once the list can be read again.
-BOOST_AUTO_TEST_CASE(ServerThatLeftWhileOnlyWeWereCutOffIsNotUsed) {
+// One server of three left while this entry was disconnected from the store. It
+// must get no requests once the list can be read again.
+BOOST_AUTO_TEST_CASE(ServerThatLeftWhileEntryWasDisconnectedIsNotUsed) {
   ServerDirectory directory;
   directory.ApplyList({Server("a"), Server("b"), Server("c")}, kStart);
   directory.OnOutage();
@@ -94,8 +94,8 @@
   BOOST_TEST(directory.Usable("s").size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(LapseIsToldByChangesAfterTheOutageToo) {
-  ServerDirectory directory({.relist_time = milliseconds(1900)});
+BOOST_AUTO_TEST_CASE(RemovalAfterOutageIsTreatedAsLapse) {
+  ServerDirectory directory({.relist_timeout = milliseconds(1900)});
   directory.ApplyList({Server("a")}, kStart);
   directory.OnOutage();
   directory.OnReturn(kStart);
@@ -105,7 +105,7 @@
   BOOST_TEST((directory.Find("a") == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(ServerThatWasDrainingBeforeTheOutageIsNotKept) {
+BOOST_AUTO_TEST_CASE(ServerDrainingBeforeOutageIsNotKept) {
   ServerDirectory directory;
   directory.ApplyList({Server("a", /*draining=*/true)}, kStart);
   directory.OnOutage();
--- a/test/forward/server_fit_test.cc
+++ b/test/forward/server_fit_test.cc
@@ -1,7 +1,7 @@
 #include <boost/test/unit_test.hpp>
 #include <string>
 
-#include "test/forward/gate_harness.h"
+#include "test/forward/scheduler_harness.h"
 
 namespace lavenderkeel {
 
@@ -10,17 +10,17 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A gate that knows the speeds of two servers of two slots: "fast" makes an
+/// Scheduler with measured speeds of two servers of two slots: "fast" makes an
 /// event in 10 ms and reads 100 prompt tokens in a millisecond, "slow" is eight
 /// times slower.
-struct Harness : GateHarness {
+struct Harness : SchedulerHarness {
   Harness() {
     for (const char* id : {"fast", "slow"}) {
       directory.Apply({.id = id, .service = "engines", .slots = 2});
     }
-    // Each of four requests ends at another server's slot.
+    // The four requests take all slots of both servers.
     for (AttemptId attempt = 1; attempt <= 4; ++attempt) {
-      Ask(attempt, {});
+      RequestSlot(attempt, {});
     }
     for (AttemptId attempt = 1; attempt <= 4; ++attempt) {
       const double slowness = granted.at(attempt) == "slow" ? 8 : 1;
@@ -30,22 +30,22 @@
     }
   }
 
-  void Ask(AttemptId attempt, const WorkSize& size) {
-    gate.Ask("entry", {.attempt = attempt,
-                       .service = "engines",
-                       .model_server = true,
-                       .in_time_until = clock.Now() + milliseconds(300),
-                       .due = clock.Now() + seconds(10),
-                       .size = size,
-                       .event_gap_target = milliseconds(250)});
+  void RequestSlot(AttemptId attempt, const WorkSize& size) {
+    scheduler.Ask("entry", {.attempt = attempt,
+                            .service = "engines",
+                            .model_server = true,
+                            .in_time_until = clock.Now() + milliseconds(300),
+                            .due = clock.Now() + seconds(10),
+                            .size = size,
+                            .event_gap_target = milliseconds(250)});
   }
   void Done(AttemptId attempt, const SlotResult& result = {}) {
-    gate.Done("entry", attempt, result);
+    scheduler.Done("entry", attempt, result);
   }
   /// Takes both slots of the fast server.
   void FillFast() {
-    Ask(11, {.events = 10});
-    Ask(12, {.events = 10});
+    RequestSlot(11, {.events = 10});
+    RequestSlot(12, {.events = 10});
     BOOST_REQUIRE(ServerOf(11) == "fast");
     BOOST_REQUIRE(ServerOf(12) == "fast");
   }
@@ -53,50 +53,50 @@
 
 }  // namespace
 
-// Only the slow server has a slot. There the answer's 200 events take 16 s, and
-// its client leaves after 10 s with nothing. It waits for the fast server; the
-// short answer behind it takes the slot meanwhile.
-BOOST_AUTO_TEST_CASE(LongAnswerWaitsForAServerThatCanFinishIt) {
+// Only the slow server has a free slot, where the answer's 200 events take 16
+// s, but the client leaves after 10 s. The request must wait for the fast
+// server, and the short answer behind it takes the slot meanwhile.
+BOOST_AUTO_TEST_CASE(LongAnswerWaitsForServerThatCanFinishInTime) {
   Harness h;
   h.FillFast();
-  h.Ask(21, {.events = 200});
-  h.Ask(22, {.events = 20});
+  h.RequestSlot(21, {.events = 200});
+  h.RequestSlot(22, {.events = 20});
   BOOST_TEST(h.ServerOf(21) == "none");
   BOOST_TEST(h.ServerOf(22) == "slow");
   h.Done(11);
   BOOST_TEST(h.ServerOf(21) == "fast");
 }
 
-// A stream runs at the slow server. Reading a prompt of 5,000 tokens takes that
-// server 400 ms, in which the stream pauses and is late. The long prompt waits
-// for the fast server as long as it can be in time itself.
+// A stream runs at the slow server. Reading a prompt of 5,000 tokens there
+// takes 400 ms, which would stall the stream. The long prompt must wait for the
+// fast server as long as it can be in time itself.
 BOOST_AUTO_TEST_CASE(LongPromptDoesNotStallStreams) {
   Harness h;
   h.FillFast();
-  h.Ask(21, {.events = 20});
+  h.RequestSlot(21, {.events = 20});
   BOOST_REQUIRE(h.ServerOf(21) == "slow");
-  h.Ask(22, {.prompt_tokens = 5000, .events = 20});
+  h.RequestSlot(22, {.prompt_tokens = 5000, .events = 20});
   BOOST_TEST(h.ServerOf(22) == "none");
   h.clock.Advance(milliseconds(310));
-  h.gate.Dispatch();
+  h.scheduler.Dispatch();
   BOOST_TEST(h.ServerOf(22) == "slow");
 }
 
-// No server can finish the answer in time, by estimate. Estimates err, so it is
-// sent to the best of them all the same.
-BOOST_AUTO_TEST_CASE(WhatSuitsNoServerGoesToTheFastest) {
+// By estimate, no server can finish the answer in time. Estimates err, so the
+// request must be sent all the same, to the fastest server.
+BOOST_AUTO_TEST_CASE(RequestThatFitsNoServerGoesToTheFastest) {
   Harness h;
-  h.Ask(21, {.prompt_tokens = 100'000, .events = 2000});
+  h.RequestSlot(21, {.prompt_tokens = 100'000, .events = 2000});
   BOOST_TEST(h.ServerOf(21) == "fast");
 }
 
-// The only server that suits can't be reached and rests. The answer that would
-// wait for it goes to the other one rather than nowhere.
-BOOST_AUTO_TEST_CASE(RestingServersAreNotWaitedFor) {
+// The only server that fits is unreachable and in backoff. The request must go
+// to the other server rather than wait.
+BOOST_AUTO_TEST_CASE(RequestsDoNotWaitForServersInBackoff) {
   Harness h;
-  h.Ask(21, {.events = 10});
+  h.RequestSlot(21, {.events = 10});
   h.Done(21, {.kind = SlotResult::Kind::kUnreachable});
-  h.Ask(22, {.events = 200});
+  h.RequestSlot(22, {.events = 200});
   BOOST_TEST(h.ServerOf(22) == "slow");
 }
 
--- a/test/forward/size_estimate_test.cc
+++ b/test/forward/size_estimate_test.cc
@@ -10,7 +10,7 @@
   return {.prompt_tokens = 700, .expected_output_tokens = output_tokens};
 }
 
-void Teach(SizeEstimate& sizes, int answers, int tokens_per_event) {
+void AddAnswers(SizeEstimate& sizes, int answers, int tokens_per_event) {
   for (int i = 0; i < answers; ++i) {
     const int events = 10 + i % 20;
     sizes.OnAnswer(Expecting(static_cast<uint64_t>(events) * tokens_per_event),
@@ -20,24 +20,24 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(NothingIsKnownBeforeTheFirstAnswer) {
+BOOST_AUTO_TEST_CASE(EstimateIsZeroBeforeFirstAnswer) {
   const SizeEstimate sizes;
   BOOST_TEST((sizes.Of(Expecting(600)) ==
               WorkSize{.prompt_tokens = 700, .events = 0}));
   BOOST_TEST(!sizes.IsLong(Expecting(100'000)));
 }
 
-BOOST_AUTO_TEST_CASE(EventsFollowWhatTheClientExpects) {
+BOOST_AUTO_TEST_CASE(EventsFollowExpectedOutputTokens) {
   SizeEstimate sizes;
-  Teach(sizes, 100, /*tokens_per_event=*/6);
+  AddAnswers(sizes, 100, /*tokens_per_event=*/6);
   BOOST_TEST(sizes.Of(Expecting(600)).events == 100U);
   BOOST_TEST(sizes.IsLong(Expecting(600)));
   BOOST_TEST(!sizes.IsLong(Expecting(120)));
 }
 
-BOOST_AUTO_TEST_CASE(WhoSaysNothingCountsAsUsual) {
+BOOST_AUTO_TEST_CASE(RequestWithoutHintCountsAsAverage) {
   SizeEstimate sizes;
-  Teach(sizes, 100, /*tokens_per_event=*/6);
+  AddAnswers(sizes, 100, /*tokens_per_event=*/6);
   const uint32_t events = sizes.Of(Expecting(0)).events;
   BOOST_TEST(events >= 15U);
   BOOST_TEST(events <= 25U);
@@ -45,11 +45,11 @@
 }
 
 // The service is replaced by one whose events hold three times as many tokens.
-// After some hundred answers the estimate has followed.
-BOOST_AUTO_TEST_CASE(EstimateSettlesAfterAChangeOfService) {
+// The estimate must have followed after some hundred answers.
+BOOST_AUTO_TEST_CASE(EstimateConvergesAfterServiceChange) {
   SizeEstimate sizes;
-  Teach(sizes, 200, /*tokens_per_event=*/6);
-  Teach(sizes, 300, /*tokens_per_event=*/18);
+  AddAnswers(sizes, 200, /*tokens_per_event=*/6);
+  AddAnswers(sizes, 300, /*tokens_per_event=*/18);
   const uint32_t events = sizes.Of(Expecting(1800)).events;
   BOOST_TEST(events >= 90U);
   BOOST_TEST(events <= 110U);
--- a/test/forward/slot_gate_test.cc
+++ b/test/forward/slot_gate_test.cc
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "lavenderkeel/base/rendezvous.h"
-#include "test/forward/gate_harness.h"
+#include "test/forward/scheduler_harness.h"
 
 namespace lavenderkeel {
 
@@ -16,8 +16,8 @@
 
 using std::chrono::milliseconds;
 
-/// A gate before `servers` servers of two slots, with its grants noted.
-struct Harness : GateHarness {
+/// Scheduler with `servers` servers of two slots that records its grants.
+struct Harness : SchedulerHarness {
   explicit Harness(int servers) {
     for (int i = 1; i <= servers; ++i) {
       directory.Apply({.id = "s" + std::to_string(i),
@@ -27,181 +27,181 @@
     }
   }
 
-  void Ask(const std::string& asker,
-           AttemptId attempt,
-           int priority = 0,
-           int route_priority = 0) {
-    gate.Ask(asker, {.attempt = attempt,
-                     .service = "engines",
-                     .model_server = true,
-                     .priority = priority,
-                     .route_priority = route_priority,
-                     .in_time_until = clock.Now() + milliseconds(500),
-                     .due = clock.Now() + std::chrono::seconds(10)});
+  void RequestSlot(const std::string& entry,
+                   AttemptId attempt,
+                   int priority = 0,
+                   int route_priority = 0) {
+    scheduler.Ask(entry, {.attempt = attempt,
+                          .service = "engines",
+                          .model_server = true,
+                          .priority = priority,
+                          .route_priority = route_priority,
+                          .in_time_until = clock.Now() + milliseconds(500),
+                          .due = clock.Now() + std::chrono::seconds(10)});
   }
 };
 
 }  // namespace
 
-// Two entries want a slot while one is left. The more urgent one gets the next
-// that is free, whichever entry it is at.
-BOOST_AUTO_TEST_CASE(SlotsGoToTheMostUrgentOfAllEntries) {
+// An urgent request must not wait behind less urgent ones of another entry: the
+// next free slot goes to the most urgent request of all entries.
+BOOST_AUTO_TEST_CASE(SlotsGoToMostUrgentRequestOfAllEntries) {
   Harness h(1);
-  h.Ask("a", 1);
-  h.Ask("b", 2);
-  h.Ask("a", 3, /*priority=*/2);
-  h.Ask("b", 4, /*priority=*/1);
+  h.RequestSlot("a", 1);
+  h.RequestSlot("b", 2);
+  h.RequestSlot("a", 3, /*priority=*/2);
+  h.RequestSlot("b", 4, /*priority=*/1);
   BOOST_TEST(h.granted.size() == 2U);
-  h.gate.Done("b", 2, {.kind = SlotResult::Kind::kAnswered});
+  h.scheduler.Done("b", 2, {.kind = SlotResult::Kind::kAnswered});
   BOOST_TEST(h.ServerOf(4) == "s1");
   BOOST_TEST(h.ServerOf(3) == "none");
 }
 
-// A burst has filled the line. The request that waited past its target goes
-// behind one that can still be in time, but is not forgotten.
-BOOST_AUTO_TEST_CASE(WhoCanStillBeInTimeGoesBeforeTheLate) {
+// In a burst, a request that waited past its target goes behind one that can
+// still be in time, but must still get a slot.
+BOOST_AUTO_TEST_CASE(RequestsStillInTimeGoBeforeLateOnes) {
   Harness h(1);
-  h.Ask("a", 1);
-  h.Ask("a", 2);
-  h.Ask("a", 3);
+  h.RequestSlot("a", 1);
+  h.RequestSlot("a", 2);
+  h.RequestSlot("a", 3);
   h.clock.Advance(milliseconds(600));
-  h.Ask("a", 4);
-  h.gate.Done("a", 1, {.kind = SlotResult::Kind::kAnswered});
+  h.RequestSlot("a", 4);
+  h.scheduler.Done("a", 1, {.kind = SlotResult::Kind::kAnswered});
   BOOST_TEST(h.ServerOf(4) == "s1");
   BOOST_TEST(h.ServerOf(3) == "none");
-  h.gate.Done("a", 2, {.kind = SlotResult::Kind::kAnswered});
+  h.scheduler.Done("a", 2, {.kind = SlotResult::Kind::kAnswered});
   BOOST_TEST(h.ServerOf(3) == "s1");
 }
 
-// An entry that was here before this gate was one reports what it has at the
-// servers. That counts, although this gate granted none of it.
-BOOST_AUTO_TEST_CASE(NewGateCountsWhatEntriesReport) {
+// A new scheduler must count the requests that entries already have at the
+// servers, although it granted none of them.
+BOOST_AUTO_TEST_CASE(NewSchedulerCountsReportedRequests) {
   Harness h(1);
-  h.gate.OnReport("a", {{.server_hash = HashBytes("s1"), .in_flight = 2}});
-  h.Ask("b", 1);
+  h.scheduler.OnReport("a", {{.server_hash = HashBytes("s1"), .in_flight = 2}});
+  h.RequestSlot("b", 1);
   BOOST_TEST(h.ServerOf(1) == "none");
-  h.gate.OnReport("a", {});
+  h.scheduler.OnReport("a", {});
   BOOST_TEST(h.ServerOf(1) == "s1");
 }
 
-// The end of an attempt is lost with a connection. The entry's reports no
-// longer show it, and the slot is free again.
-BOOST_AUTO_TEST_CASE(SlotWhoseEndWasLostIsFreeAgain) {
+// The end of an attempt is lost with a connection. Its slot must be free again
+// once the entry's reports no longer show the attempt.
+BOOST_AUTO_TEST_CASE(SlotIsFreedWhenEndOfAttemptIsLost) {
   Harness h(1);
-  h.Ask("a", 1);
-  h.Ask("a", 2);
-  h.Ask("b", 3);
+  h.RequestSlot("a", 1);
+  h.RequestSlot("a", 2);
+  h.RequestSlot("b", 3);
   h.clock.Advance(milliseconds(200));
-  h.gate.OnReport("a", {});
+  h.scheduler.OnReport("a", {});
   BOOST_TEST(h.ServerOf(3) == "none");
   h.clock.Advance(milliseconds(100));
-  h.gate.OnReport("a", {});
+  h.scheduler.OnReport("a", {});
   BOOST_TEST(h.ServerOf(3) == "s1");
 }
 
-BOOST_AUTO_TEST_CASE(LostEntryGivesItsSlotsBack) {
+BOOST_AUTO_TEST_CASE(SlotsOfLostEntryAreFreed) {
   Harness h(1);
-  h.Ask("a", 1);
-  h.Ask("a", 2);
-  h.Ask("b", 3);
-  h.gate.ForgetAsker("a");
+  h.RequestSlot("a", 1);
+  h.RequestSlot("a", 2);
+  h.RequestSlot("b", 3);
+  h.scheduler.ForgetAsker("a");
   BOOST_TEST(h.ServerOf(3) == "s1");
 }
 
-// One server crashed, the other is full. The request waits for the sound one:
-// at the crashed one, which always has places, it would lose an attempt.
-BOOST_AUTO_TEST_CASE(FailedServerRestsWhileAnotherIsSound) {
+// One server crashed, the other is full. The request must wait for the healthy
+// one: the crashed one, which always has free capacity, would fail the attempt.
+BOOST_AUTO_TEST_CASE(FailedServerBacksOffWhileAnotherIsHealthy) {
   Harness h(2);
-  h.Ask("a", 1);
+  h.RequestSlot("a", 1);
   const std::string crashed = h.ServerOf(1);
-  h.gate.Done("a", 1, {.kind = SlotResult::Kind::kFailed});
+  h.scheduler.Done("a", 1, {.kind = SlotResult::Kind::kFailed});
   for (AttemptId attempt = 2; attempt <= 4; ++attempt) {
-    h.Ask("a", attempt);
+    h.RequestSlot("a", attempt);
   }
   BOOST_TEST(h.ServerOf(2) != crashed);
   BOOST_TEST(h.ServerOf(3) != crashed);
   BOOST_TEST(h.ServerOf(4) == "none");
   h.clock.Advance(milliseconds(260));
-  h.gate.Dispatch();
+  h.scheduler.Dispatch();
   BOOST_TEST(h.ServerOf(4) == crashed);
 }
 
-// The server crashed with two streams on it and has started again under its id.
-// Both slots are free at the new start, although the ends of the streams at the
-// former one have not been told yet, and the former's failures are not its own.
-BOOST_AUTO_TEST_CASE(ServerThatStartedAgainHasAllItsSlots) {
+// A server crashed with two streams and restarted under its id. All its slots
+// must be free, although the ends of the streams are not reported yet, and
+// failures of the former incarnation must not count against the new one.
+BOOST_AUTO_TEST_CASE(RestartedServerHasAllItsSlots) {
   Harness h(1);
-  h.Ask("a", 1);
-  h.Ask("a", 2);
-  h.Ask("a", 3);
+  h.RequestSlot("a", 1);
+  h.RequestSlot("a", 2);
+  h.RequestSlot("a", 3);
   h.directory.Apply({.id = "s1", .born = 5, .service = "engines", .slots = 2});
-  h.gate.Dispatch();
+  h.scheduler.Dispatch();
   BOOST_TEST(h.ServerOf(3) == "s1#5");
-  h.gate.Done("a", 1, {.kind = SlotResult::Kind::kUnreachable});
-  h.gate.Done("a", 2, {.kind = SlotResult::Kind::kUnreachable});
-  h.Ask("a", 4);
+  h.scheduler.Done("a", 1, {.kind = SlotResult::Kind::kUnreachable});
+  h.scheduler.Done("a", 2, {.kind = SlotResult::Kind::kUnreachable});
+  h.RequestSlot("a", 4);
   BOOST_TEST(h.ServerOf(4) == "s1#5");
 }
 
-// One answer in twenty is lost at the only server. It goes on serving: a rest
-// after each loss would refuse clients whom it could serve. After two losses in
-// a row it has crashed, and rests while another is sound.
-BOOST_AUTO_TEST_CASE(SingleFailuresAmongAnswersCostNoRest) {
+// A server that loses one answer in twenty must keep serving: a backoff after
+// each loss would refuse requests that it could serve. Two failures in a row
+// are a crash, and the server is avoided while another is healthy.
+BOOST_AUTO_TEST_CASE(SingleFailureAmongAnswersCausesNoBackoff) {
   Harness h(2);
   AttemptId last = 0;
   for (int i = 0; i < 40; ++i) {
-    h.Ask("a", ++last);
-    h.gate.Done("a", last, {.kind = SlotResult::Kind::kAnswered});
+    h.RequestSlot("a", ++last);
+    h.scheduler.Done("a", last, {.kind = SlotResult::Kind::kAnswered});
   }
-  h.Ask("a", ++last);
+  h.RequestSlot("a", ++last);
   const std::string failing = h.ServerOf(last);
-  h.gate.Done("a", last, {.kind = SlotResult::Kind::kFailed});
-  h.Ask("a", ++last);
+  h.scheduler.Done("a", last, {.kind = SlotResult::Kind::kFailed});
+  h.RequestSlot("a", ++last);
   BOOST_TEST(h.ServerOf(last) == failing);
-  h.gate.Done("a", last, {.kind = SlotResult::Kind::kFailed});
-  h.Ask("a", ++last);
+  h.scheduler.Done("a", last, {.kind = SlotResult::Kind::kFailed});
+  h.RequestSlot("a", ++last);
   BOOST_TEST(h.ServerOf(last) != failing);
 }
 
-BOOST_AUTO_TEST_CASE(GroupsShareOutTheServers) {
+BOOST_AUTO_TEST_CASE(GroupsPartitionTheServers) {
   Harness h(8);
   int free = 0;
   for (uint32_t index = 0; index < 3; ++index) {
-    free += h.gate.Free("engines", {.index = index, .count = 3});
+    free += h.scheduler.FreeCapacity("engines", {.index = index, .count = 3});
   }
   BOOST_TEST(free == 16);
 }
 
-// Whatever entries ask, end, report and lose: no server has more grants at a
-// time than slots, and every wish is granted once slots are free.
-BOOST_AUTO_TEST_CASE(NoServerIsGrantedBeyondItsSlots) {
+// For any sequence of requests and ends of attempts: no server has more grants
+// at a time than slots, and every request is granted once slots are free.
+BOOST_AUTO_TEST_CASE(ServersNeverGetMoreGrantsThanSlots) {
   rc::check([] {
     constexpr size_t kServers = 3;
     Harness h(static_cast<int>(kServers));
-    std::map<AttemptId, std::string> asked;
+    std::map<AttemptId, std::string> open_attempts;
     AttemptId last = 0;
     const int steps = *rc::gen::inRange(1, 200);
     for (int step = 0; step < steps; ++step) {
       const std::string entry = *rc::gen::element<std::string>("a", "b", "c");
-      const int what = *rc::gen::inRange(0, 10);
-      if (what < 6) {
-        h.Ask(entry, ++last, *rc::gen::inRange(0, 3));
-        asked[last] = entry;
-      } else if (!asked.empty()) {
+      const int action = *rc::gen::inRange(0, 10);
+      if (action < 6) {
+        h.RequestSlot(entry, ++last, *rc::gen::inRange(0, 3));
+        open_attempts[last] = entry;
+      } else if (!open_attempts.empty()) {
         const auto ended = std::next(
-            asked.begin(),
-            *rc::gen::inRange<int>(0, static_cast<int>(asked.size())));
-        h.gate.Done(ended->second, ended->first,
-                    {.kind = SlotResult::Kind::kAnswered});
+            open_attempts.begin(),
+            *rc::gen::inRange<int>(0, static_cast<int>(open_attempts.size())));
+        h.scheduler.Done(ended->second, ended->first,
+                         {.kind = SlotResult::Kind::kAnswered});
         h.granted.erase(ended->first);
-        asked.erase(ended);
+        open_attempts.erase(ended);
       }
       std::map<std::string, int> at;
       for (const auto& [attempt, server] : h.granted) {
         RC_ASSERT(++at[server] <= 2);
       }
       RC_ASSERT(h.granted.size() ==
-                std::min<size_t>(asked.size(), 2 * kServers));
+                std::min<size_t>(open_attempts.size(), 2 * kServers));
     }
   });
 }
--- a/test/forward/slot_router_test.cc
+++ b/test/forward/slot_router_test.cc
@@ -21,11 +21,11 @@
     }
   }
 
-  void Ask(AttemptId attempt) {
+  void RequestSlot(AttemptId attempt) {
     router.Ask(
         {.attempt = attempt, .service = "engines", .model_server = true});
   }
-  void HearAll() {
+  void ReportFromAll() {
     for (const char* entry : {"b", "c", "d"}) {
       router.OnHeard(entry, {});
     }
@@ -34,51 +34,54 @@
   fuzz::VirtualClock clock;
   EventLog log;
   ServerDirectory directory;
-  std::vector<std::pair<std::string, SlotAsk>> asked;
+  std::vector<std::pair<std::string, SlotAsk>> sent_requests;
   SlotRouter router{
       {.self = "a"},
       directory,
       clock,
       log,
-      {.ask = [this](const std::string& gate,
-                     const SlotAsk& ask) { asked.emplace_back(gate, ask); },
+      {.ask =
+           [this](const std::string& scheduler, const SlotAsk& request) {
+             sent_requests.emplace_back(scheduler, request);
+           },
        .done = [](const std::string&, AttemptId, const SlotResult&) {}}};
 };
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(EntryAloneIsItsOwnGate) {
+BOOST_AUTO_TEST_CASE(SingleEntryIsItsOwnScheduler) {
   Harness h(40);
-  h.Ask(1);
-  BOOST_REQUIRE(h.asked.size() == 1U);
-  BOOST_TEST(h.asked[0].first == "a");
-  BOOST_TEST(h.asked[0].second.group.count == 2U);
+  h.RequestSlot(1);
+  BOOST_REQUIRE(h.sent_requests.size() == 1U);
+  BOOST_TEST(h.sent_requests[0].first == "a");
+  BOOST_TEST(h.sent_requests[0].second.group.count == 2U);
 }
 
-// Entries that each place alone at a few plain servers all take the same free
-// place, and the servers reject what is too much. One gate hands the places
-// out, as for model servers.
-BOOST_AUTO_TEST_CASE(PlainServicesHaveOneGateForAllEntries) {
+// Entries that place requests independently at a few plain servers would all
+// take the same free slot, and the servers would reject the excess. One
+// scheduler must grant the slots, as for model servers.
+BOOST_AUTO_TEST_CASE(PlainServiceHasOneSchedulerForAllEntries) {
   Harness h(3);
-  h.HearAll();
-  h.Ask(1);
+  h.ReportFromAll();
+  h.RequestSlot(1);
   h.router.Ask({.attempt = 2, .service = "engines", .model_server = false});
-  BOOST_TEST(h.asked[1].first == h.asked[0].first);
-  BOOST_TEST(h.asked[1].first != "a");
+  BOOST_TEST(h.sent_requests[1].first == h.sent_requests[0].first);
+  BOOST_TEST(h.sent_requests[1].first != "a");
 }
 
-// The gate of a waiting request freezes. The client is still served in time:
-// the request is taken to the gate that follows, and a slot that the frozen one
-// grants when it wakes is not used a second time.
-BOOST_AUTO_TEST_CASE(WishIsTakenAwayFromASilentGate) {
+// The scheduler of a waiting request freezes. The request must move to the next
+// one early enough to be in time, and a slot that the frozen one grants later
+// must not be used as well.
+BOOST_AUTO_TEST_CASE(RequestMovesAwayFromUnresponsiveScheduler) {
   Harness h(3);
-  h.HearAll();
+  h.ReportFromAll();
   AttemptId attempt = 0;
   do {
-    h.Ask(++attempt);
-  } while (h.asked.back().first == "a" && attempt < 1);
-  // The rendezvous of these names picks another entry; else nothing to test.
-  const std::string first = h.asked.back().first;
+    h.RequestSlot(++attempt);
+  } while (h.sent_requests.back().first == "a" && attempt < 1);
+  // The rendezvous of these names picks another entry; otherwise the test would
+  // check nothing.
+  const std::string first = h.sent_requests.back().first;
   BOOST_REQUIRE(first != "a");
   h.clock.Advance(milliseconds(300));
   for (const char* entry : {"b", "c", "d"}) {
@@ -88,59 +91,60 @@
   }
   h.clock.Advance(milliseconds(200));
   h.router.Tick();
-  BOOST_REQUIRE(h.asked.size() == 2U);
-  const std::string second = h.asked.back().first;
+  BOOST_REQUIRE(h.sent_requests.size() == 2U);
+  const std::string second = h.sent_requests.back().first;
   BOOST_TEST(second != first);
   BOOST_TEST(!h.router.OnGrant(first, attempt));
   BOOST_TEST(h.router.OnGrant(second, attempt));
   BOOST_TEST(!h.router.OnGrant(second, attempt));
 }
 
-BOOST_AUTO_TEST_CASE(WishIsAskedAgainOverANewConnection) {
+BOOST_AUTO_TEST_CASE(RequestIsSentAgainOverNewConnection) {
   Harness h(3);
-  h.HearAll();
-  h.Ask(1);
-  const std::string gate = h.asked[0].first;
-  h.router.OnReconnected(gate);
-  BOOST_TEST(h.asked.size() == 2U);
-  BOOST_TEST(h.asked[1].first == gate);
+  h.ReportFromAll();
+  h.RequestSlot(1);
+  const std::string scheduler = h.sent_requests[0].first;
+  h.router.OnReconnected(scheduler);
+  BOOST_TEST(h.sent_requests.size() == 2U);
+  BOOST_TEST(h.sent_requests[1].first == scheduler);
 }
 
-// Before 180 servers a burst leaves slots free in one group while urgent work
-// waits in another's line. Where strong entries have the gates, groups are few.
+// With 180 servers, many groups leave slots free in one group while urgent
+// requests wait in the queue of another. Stronger scheduler hosts must get
+// fewer, larger groups.
 BOOST_AUTO_TEST_CASE(StrongerHostsHaveLargerGroups) {
   Harness h(180);
-  h.Ask(1);
-  BOOST_TEST(h.asked.back().second.group.count == 11U);
+  h.RequestSlot(1);
+  BOOST_TEST(h.sent_requests.back().second.group.count == 11U);
   h.router.set_weakest_host(0.09);
-  h.Ask(2);
-  BOOST_TEST(h.asked.back().second.group.count == 11U);
+  h.RequestSlot(2);
+  BOOST_TEST(h.sent_requests.back().second.group.count == 11U);
   h.router.set_weakest_host(0.5);
-  h.Ask(3);
-  BOOST_TEST(h.asked.back().second.group.count == 2U);
+  h.RequestSlot(3);
+  BOOST_TEST(h.sent_requests.back().second.group.count == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(EntryThatHostsNoGatesAsksAnother) {
+BOOST_AUTO_TEST_CASE(EntryWithoutSchedulersUsesAnother) {
   Harness h(40);
-  h.HearAll();
+  h.ReportFromAll();
   h.router.set_hosts_gates(false);
   for (AttemptId attempt = 1; attempt <= 20; ++attempt) {
-    h.Ask(attempt);
-    BOOST_TEST(h.asked.back().first != "a");
+    h.RequestSlot(attempt);
+    BOOST_TEST(h.sent_requests.back().first != "a");
   }
 }
 
-BOOST_AUTO_TEST_CASE(LeavingEntryIsNoGate) {
+BOOST_AUTO_TEST_CASE(LeavingEntryIsNoScheduler) {
   Harness h(40);
-  h.HearAll();
+  h.ReportFromAll();
   h.router.set_leaving();
   for (AttemptId attempt = 1; attempt <= 20; ++attempt) {
-    h.Ask(attempt);
-    BOOST_TEST(h.asked.back().first != "a");
+    h.RequestSlot(attempt);
+    BOOST_TEST(h.sent_requests.back().first != "a");
   }
 }
 
-BOOST_AUTO_TEST_CASE(GroupWithMoreRoomIsAsked) {
+BOOST_AUTO_TEST_CASE(GroupWithMostFreeSlotsIsChosen) {
   Harness h(40);
   const uint64_t service = HashBytes("engines");
   h.router.OnHeard(
@@ -151,8 +155,8 @@
         .free = 5}});
   std::vector<uint32_t> groups;
   for (AttemptId attempt = 1; attempt <= 5; ++attempt) {
-    h.Ask(attempt);
-    groups.push_back(h.asked.back().second.group.index);
+    h.RequestSlot(attempt);
+    groups.push_back(h.sent_requests.back().second.group.index);
   }
   BOOST_TEST(std::ranges::count(groups, 1U) >= 4);
 }
--- a/test/forward/suspect_runs_test.cc
+++ b/test/forward/suspect_runs_test.cc
@@ -1,6 +1,6 @@
 #include <boost/test/unit_test.hpp>
 
-#include "test/forward/gate_harness.h"
+#include "test/forward/scheduler_harness.h"
 
 namespace lavenderkeel {
 
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-struct Harness : GateHarness {
+struct Harness : SchedulerHarness {
   explicit Harness(int servers) {
     for (int i = 1; i <= servers; ++i) {
       directory.Apply({.id = "s" + std::to_string(i),
@@ -18,59 +18,59 @@
     }
   }
 
-  void Ask(AttemptId attempt, CrashStanding standing) {
-    gate.Ask("a", {.attempt = attempt,
-                   .service = "engines",
-                   .model_server = true,
-                   .in_time_until = clock.Now() + milliseconds(500),
-                   .due = clock.Now() + std::chrono::seconds(10),
-                   .standing = standing});
+  void RequestSlot(AttemptId attempt, CrashStanding suspicion) {
+    scheduler.Ask("a", {.attempt = attempt,
+                        .service = "engines",
+                        .model_server = true,
+                        .in_time_until = clock.Now() + milliseconds(500),
+                        .due = clock.Now() + std::chrono::seconds(10),
+                        .standing = suspicion});
   }
 };
 
 }  // namespace
 
-// Guards against: a harmless request that is lost with the server of another
-// twice, and blamed like that one.
-BOOST_AUTO_TEST_CASE(DoubtfulRequestsRunApartFromOtherSuspects) {
+// A harmless request must not be lost twice with the server of another request
+// and then be blocked like it.
+BOOST_AUTO_TEST_CASE(DoubtfulRequestsShareNoServerWithOtherSuspects) {
   Harness h(2);
-  h.Ask(1, CrashStanding::kDoubtful);
-  h.Ask(2, CrashStanding::kDoubtful);
-  h.Ask(3, CrashStanding::kSuspect);
+  h.RequestSlot(1, CrashStanding::kDoubtful);
+  h.RequestSlot(2, CrashStanding::kDoubtful);
+  h.RequestSlot(3, CrashStanding::kSuspect);
   BOOST_TEST(h.ServerOf(1) != h.ServerOf(2));
   BOOST_TEST(h.ServerOf(2) != "none");
   BOOST_TEST(h.ServerOf(3) == "none");
-  h.Ask(4, CrashStanding::kDoubtful);
+  h.RequestSlot(4, CrashStanding::kDoubtful);
   BOOST_TEST(h.ServerOf(4) == "none");
-  h.gate.Done("a", 1, {.kind = SlotResult::Kind::kAnswered});
+  h.scheduler.Done("a", 1, {.kind = SlotResult::Kind::kAnswered});
   BOOST_TEST(h.ServerOf(3) == h.ServerOf(1));
 }
 
-BOOST_AUTO_TEST_CASE(OtherRequestsAvoidTheServerOfADoubtfulOne) {
+BOOST_AUTO_TEST_CASE(OtherRequestsAvoidServerOfDoubtfulOne) {
   Harness h(2);
-  h.Ask(1, CrashStanding::kDoubtful);
+  h.RequestSlot(1, CrashStanding::kDoubtful);
   for (const AttemptId attempt : {2U, 3U, 4U, 5U}) {
-    h.Ask(attempt, CrashStanding::kClear);
+    h.RequestSlot(attempt, CrashStanding::kClear);
     BOOST_TEST(h.ServerOf(attempt) != h.ServerOf(1));
   }
-  // Rather there than not at all.
-  h.Ask(6, CrashStanding::kClear);
+  // A shared server is better than none.
+  h.RequestSlot(6, CrashStanding::kClear);
   BOOST_TEST(h.ServerOf(6) == h.ServerOf(1));
 }
 
-BOOST_AUTO_TEST_CASE(DoubtfulRequestRunsWhereFewestOthersDo) {
+BOOST_AUTO_TEST_CASE(DoubtfulRequestRunsOnLeastLoadedServer) {
   Harness h(2);
-  h.Ask(1, CrashStanding::kClear);
-  h.Ask(2, CrashStanding::kDoubtful);
+  h.RequestSlot(1, CrashStanding::kClear);
+  h.RequestSlot(2, CrashStanding::kDoubtful);
   BOOST_TEST(h.ServerOf(2) != h.ServerOf(1));
 }
 
-// Guards against: a lost entry whose suspects keep servers to themselves.
-BOOST_AUTO_TEST_CASE(SuspectsOfALostEntryAreGone) {
+// The suspects of a lost entry must not keep servers reserved.
+BOOST_AUTO_TEST_CASE(SuspectsOfLostEntryAreRemoved) {
   Harness h(1);
-  h.Ask(1, CrashStanding::kDoubtful);
-  h.gate.ForgetAsker("a");
-  h.Ask(2, CrashStanding::kDoubtful);
+  h.RequestSlot(1, CrashStanding::kDoubtful);
+  h.scheduler.ForgetAsker("a");
+  h.RequestSlot(2, CrashStanding::kDoubtful);
   BOOST_TEST(h.ServerOf(2) == "s1");
 }
 
--- a/test/forward/team_bucket_test.cc
+++ b/test/forward/team_bucket_test.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(BurstThenRateThenAWaitThatIsEnough) {
+BOOST_AUTO_TEST_CASE(WaitAfterBurstSuffices) {
   TeamBucket bucket;
   BOOST_TEST(!bucket.Take(kRate, 2000, 1, kStart).has_value());
   const auto wait = bucket.Take(kRate, 500, 1, kStart);
@@ -28,13 +28,13 @@
   BOOST_TEST(!bucket.Take(kRate, 500, 1, kStart + *wait).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(RequestLargerThanTheBurstPassesWhenTheBucketIsFull) {
+BOOST_AUTO_TEST_CASE(RequestLargerThanBurstPassesWhenBucketIsFull) {
   TeamBucket bucket;
   BOOST_TEST(!bucket.Take(kRate, 5000, 1, kStart).has_value());
   BOOST_TEST(bucket.Take(kRate, 1, 1, kStart).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(WhatOtherEntriesReportCounts) {
+BOOST_AUTO_TEST_CASE(UsageReportedByOthersCounts) {
   TeamBucket bucket;
   bucket.Take(kRate, 1, 1, kStart);
   bucket.OnPeerTotal("b", 100);
@@ -42,19 +42,19 @@
   BOOST_TEST(bucket.Take(kRate, 200, 1, kStart).has_value());
 }
 
-// An entry joins and hears of all that another drew in its long life. The team
-// is not locked out for that: most of it was refilled long since.
-BOOST_AUTO_TEST_CASE(FirstReportLeavesNoDebt) {
+// A new entry receives a peer's total since its start. The team must not be
+// refused for it: most of it has been refilled since.
+BOOST_AUTO_TEST_CASE(FirstReportOfPeerLeavesNoDebt) {
   TeamBucket bucket;
   bucket.Take(kRate, 1, 1, kStart);
   bucket.OnPeerTotal("b", 1'000'000);
   BOOST_TEST(bucket.level() == 0);
 }
 
-// Four entries that hear of each other with a delay let a team through that
-// asks for far more than its rate. Over any eight seconds, what passes stays
-// within the tolerated bound.
-BOOST_AUTO_TEST_CASE(FourEntriesTogetherKeepWithinTheTolerance) {
+// Four entries with delayed reports from each other limit a team that requests
+// far more than its rate. Over any eight seconds, what passes must stay within
+// the tolerated bound.
+BOOST_AUTO_TEST_CASE(FourEntriesTogetherStayWithinTolerance) {
   rc::check([] {
     constexpr size_t kEntries = 4;
     constexpr TeamRate kLimit = {
@@ -62,7 +62,7 @@
     constexpr TeamBucket::Tolerance kTolerance = {.over = 0.1,
                                                   .slack = 190'000};
     constexpr Duration kWindow = std::chrono::seconds(8);
-    const TeamRate aim = TeamBucket::Aim(kLimit, kTolerance);
+    const TeamRate target = TeamBucket::TargetRate(kLimit, kTolerance);
     std::array<TeamBucket, kEntries> buckets;
     std::vector<std::pair<TimePoint, double>> passed;
     const int units = *rc::gen::inRange(200, 6000);
@@ -71,7 +71,7 @@
       const TimePoint now = kStart + std::chrono::milliseconds(10 * i);
       const auto entry =
           static_cast<size_t>(*rc::gen::inRange<int>(0, kEntries));
-      if (!buckets.at(entry).Take(aim, units, 1, now).has_value()) {
+      if (!buckets.at(entry).Take(target, units, 1, now).has_value()) {
         passed.emplace_back(now, units);
       }
       constexpr int kReportEvery = 20;
@@ -101,19 +101,20 @@
   });
 }
 
-// A team floods 30 entries with five times its rate. After eight seconds all of
-// them are killed and start anew, each alone for the first 250 ms. What the
-// team gets in the eight seconds around the restart stays within what is
-// tolerated, although none of them knows what it drew before.
-BOOST_AUTO_TEST_CASE(RestartOfAllEntriesUnderAFlood) {
+// A team requests five times its rate from 30 entries. After eight seconds all
+// of them are killed and restart, each isolated for the first 250 ms and
+// without knowledge of earlier usage. What the team gets in the eight seconds
+// around the restart must stay within the tolerance.
+BOOST_AUTO_TEST_CASE(RestartOfAllEntriesUnderOverloadStaysWithinTolerance) {
   constexpr size_t kEntries = 30;
   constexpr TeamRate kLimit = {
       .per_second = 200'000, .burst = 200'000, .in_tokens = true};
   constexpr TeamBucket::Tolerance kTolerance = {.over = 0.1, .slack = 190'000};
-  const TeamRate aim = TeamBucket::Aim(kLimit, kTolerance);
+  const TeamRate target = TeamBucket::TargetRate(kLimit, kTolerance);
   const TimePoint restart = kStart + std::chrono::seconds(8);
   const TimePoint connected = restart + std::chrono::milliseconds(250);
-  const double initial = kTolerance.slack * (1 - kTolerance.used_slack);
+  const double initial =
+      kTolerance.slack * (1 - kTolerance.used_fraction_of_slack);
   std::vector<TeamBucket> buckets(kEntries);
   std::vector<RateShare> shares(
       kEntries, RateShare({}, kStart - std::chrono::seconds(8)));
@@ -128,42 +129,42 @@
       buckets.assign(kEntries, TeamBucket(restart, initial));
       shares.assign(kEntries, RateShare({}, restart));
     }
-    const bool alone = now >= restart && now < connected;
+    const bool isolated = now >= restart && now < connected;
     // A million units a second: five requests every 20 ms.
     for (int k = 0; k < 5 && i % 4 == 0; ++k) {
       const size_t entry = next++ % kEntries;
-      shares[entry].OnPeerCount(alone ? 1 : kEntries, alone ? 1 : kEntries,
-                                now);
+      shares[entry].OnPeerCount(isolated ? 1 : kEntries,
+                                isolated ? 1 : kEntries, now);
       const bool taken =
           shares[entry].Joining(now)
-              ? buckets[entry].TakePart(aim, kUnits,
-                                        shares[entry].JoiningPart(), now)
-              : !buckets[entry].Take(aim, kUnits, 1, now).has_value();
+              ? buckets[entry].TakeShare(target, kUnits,
+                                         shares[entry].JoiningShare(), now)
+              : !buckets[entry].Take(target, kUnits, 1, now).has_value();
       if (taken) {
         (now < restart ? passed_before : passed_after) += kUnits;
       }
     }
     // Reports every 100 ms.
-    for (size_t from = 0; from < kEntries && i % 20 == 0 && !alone; ++from) {
+    for (size_t from = 0; from < kEntries && i % 20 == 0 && !isolated; ++from) {
       for (size_t to = 0; to < kEntries; ++to) {
         if (from != to) {
-          buckets[to].OnPeerTotal(std::to_string(from), buckets[from].used(),
-                                  now < restart
-                                      ? TeamBucket::FirstTotal::kOld
-                                      : TeamBucket::FirstTotal::kRecent);
+          buckets[to].OnPeerTotal(
+              std::to_string(from), buckets[from].used(),
+              now < restart ? TeamBucket::FirstTotal::kLongRunning
+                            : TeamBucket::FirstTotal::kStartedTogether);
         }
       }
     }
-    // The window holds all from the start to a second after the restart.
+    // The window covers the time from the start to a second after the restart.
     if (now == restart + std::chrono::seconds(1)) {
       break;
     }
   }
-  // Nine seconds passed; eight are judged. The second that is too much is
-  // allowed for at the rate that the count aims at.
+  // Nine seconds passed, and the bound is for eight. The additional second is
+  // allowed for at the target rate.
   const double bound =
       (kLimit.per_second * 8 + kLimit.burst) * (1 + kTolerance.over) +
-      kTolerance.slack + aim.per_second;
+      kTolerance.slack + target.per_second;
   BOOST_TEST(passed_before > 1'500'000);
   BOOST_TEST(passed_before + passed_after <= bound);
 }
