--- a/test/dispatch/scenario_test.cc
+++ b/test/dispatch/scenario_test.cc
@@ -1,5 +1,5 @@
-// Named failures, stepped through the daemons' own components under a virtual
-// clock; some are shrunk from the fuzzer's finds.
+// Failure scenarios, run on the daemons' own components under a virtual clock;
+// some are shrunk from the fuzzer's counterexamples.
 #include <boost/test/unit_test.hpp>
 #include <optional>
 #include <vector>
@@ -10,30 +10,30 @@
 
 namespace {
 
-void CheckHeld(World& world) {
+void CheckInvariants(World& world) {
   BOOST_TEST(world.oracle().open() == 0U, world.oracle().DescribeOpen());
   for (const std::string& violation : world.oracle().violations()) {
     BOOST_ERROR(violation);
   }
 }
 
-bool AllTold(World& world) {
+bool RunUntilAllConcluded(World& world) {
   return world.RunUntil([&] { return world.oracle().open() == 0; },
                         std::chrono::seconds(60));
 }
 
-/// Keys of callers' own, for work that may run once only.
-struct NewKeys {
+/// Requests with keys chosen by callers, for non-repeatable work.
+struct CallerKeys {
   size_t count = 0;
-  /// The entries that get them, in turn.
+  /// Target entries, round robin.
   std::vector<size_t> entries;
   uint32_t tokens = 3;
   std::optional<int64_t> deadline_ms;
-  /// How long the system runs after each.
+  /// Simulated time after each request.
   Duration gap = Duration::zero();
 };
 
-void Submit(World& world, const NewKeys& keys) {
+void Submit(World& world, const CallerKeys& keys) {
   for (size_t i = 0; i < keys.count; ++i) {
     world.Submit(keys.entries[i % keys.entries.size()], world.NewKey(),
                  "r" + std::to_string(i) + "x", /*repeatable=*/false,
@@ -42,8 +42,8 @@
   }
 }
 
-/// Stops an entry in order and starts it again a little later.
-void StopAndStart(World& world, size_t entry) {
+/// Shuts an entry down gracefully and restarts it 3 s later.
+void RestartGracefully(World& world, size_t entry) {
   world.RunFor(std::chrono::seconds(5));
   world.Leave(entry);
   BOOST_REQUIRE(world.RunUntil([&] { return !world.alive(entry); },
@@ -54,9 +54,9 @@
 
 }  // namespace
 
-// Lookups fill every slot; then checks with a deadline come that no free slot
-// would serve in time. Lookups give way, and no check is refused while any of
-// them runs.
+// Guards against refusing checks with a deadline while lookups run: lookups
+// occupy every slot, no slot becomes free in time, and so the checks have to
+// preempt them.
 BOOST_AUTO_TEST_CASE(ChecksAreNotShedWhileLookupsRun) {
   World world({.seed = 3});
   for (int i = 0; i < 40; ++i) {
@@ -72,13 +72,13 @@
   BOOST_TEST(world.oracle().Count(ResultCode::kDeadlinePassed) == 0U);
   BOOST_TEST(world.oracle().Count(ResultCode::kDeadlineUnreachable) == 0U);
   BOOST_TEST(world.oracle().Count(ResultCode::kOverloaded) == 0U);
-  BOOST_TEST(AllTold(world));
-  CheckHeld(world);
+  BOOST_TEST(RunUntilAllConcluded(world));
+  CheckInvariants(world);
 }
 
-// Both holders of a claim die, one comes back and leaves in order. The next in
-// rank never held the claim and must not vouch for the key: the retry hears
-// "unknown", or the answer, never "not run".
+// Guards against "not run" after both holders of a claim are lost and one of
+// them restarts and leaves gracefully. The next entry in rank never held the
+// claim and must not vouch for the key: a retry gets "unknown" or the answer.
 BOOST_AUTO_TEST_CASE(LossOfBothHoldersIsRemembered) {
   World world({.seed = 1});
   const std::string key = world.NewKey();
@@ -91,14 +91,14 @@
   world.Leave(1);
   world.RunFor(std::chrono::milliseconds(44));
   world.Submit(1, key, "r0x", false, 3);
-  BOOST_TEST(AllTold(world));
-  CheckHeld(world);
+  BOOST_TEST(RunUntilAllConcluded(world));
+  CheckInvariants(world);
 }
 
-// A slow engine has accepted more than it runs when its agent leaves. What did
-// not start goes back to its entry at once and runs elsewhere; nothing starts
-// at the leaving agent.
-BOOST_AUTO_TEST_CASE(LeavingAgentGivesBackWhatDidNotStart) {
+// Guards against requests left at, or started by, a leaving agent whose slow
+// engine has accepted more than it runs. Requests that have not started go back
+// to their entry immediately and run at another agent.
+BOOST_AUTO_TEST_CASE(LeavingAgentReturnsRequestsThatDidNotStart) {
   World world({.seed = 1});
   world.engine(0).set_speed(0.1);
   for (int i = 0; i < 40; ++i) {
@@ -106,26 +106,26 @@
   }
   world.RunFor(std::chrono::milliseconds(12));
   world.Leave(world.entries());
-  BOOST_TEST(AllTold(world));
-  CheckHeld(world);
+  BOOST_TEST(RunUntilAllConcluded(world));
+  CheckInvariants(world);
 }
 
-// The same lookup is sent to two entries. Both hold a reservation for it, it
-// runs once, and both callers get the whole answer.
+// Guards against a second run, or a missing answer, of a lookup that is sent to
+// two entries: both hold a reservation for its key.
 BOOST_AUTO_TEST_CASE(SameLookupAtTwoEntries) {
   World world({.seed = 1});
   const std::string key = world.NewKey();
   world.Submit(0, key, "r0x", true, 9);
   world.Submit(1, key, "r0x", true, 9);
-  BOOST_TEST(AllTold(world));
-  CheckHeld(world);
+  BOOST_TEST(RunUntilAllConcluded(world));
+  CheckInvariants(world);
 }
 
-// A caller uses one key for a check and for a lookup. The check's entry dies
-// while it waits; a second entry takes it over, has the agent refuse the key to
-// all others and dies as well. The lookup comes to a third entry, which gets
-// slots but has its goes refused: it gives up after a few of them, where it
-// used to go on as fast as the network carries messages.
+// Guards against an endless loop of slot offers and refused Gos at network
+// speed. A key is used for a check and a lookup. The check's entry is lost
+// while the check waits; a second entry takes it over, seals the key at the
+// agent and is lost as well. A third entry then gets slots for the lookup, but
+// each Go is refused; it must give up after a few attempts.
 BOOST_AUTO_TEST_CASE(LookupWithTheKeyOfALostCheckGivesUp) {
   World world({.entries = 3, .agents = 1, .seed = 1});
   world.engine(0).set_speed(0.01);
@@ -146,16 +146,16 @@
   const uint64_t before = world.messages_sent(2);
   world.Submit(2, key, "r0x", true, 5);
   world.RunFor(std::chrono::seconds(2));
-  // Four goes and what belongs to them, and heartbeats.
-  constexpr uint64_t kMostMessages = 40;
-  BOOST_TEST(world.messages_sent(2) - before < kMostMessages);
-  BOOST_TEST(AllTold(world));
+  // Four Gos with their related messages, and heartbeats.
+  constexpr uint64_t kMaxMessages = 40;
+  BOOST_TEST(world.messages_sent(2) - before < kMaxMessages);
+  BOOST_TEST(RunUntilAllConcluded(world));
 }
 
-// A lookup runs at an agent that dies at once, silently, and starts again; the
-// lookup is sent to its successor. The engine must not take that for the
-// predecessor's start, whose stream was cancelled.
-BOOST_AUTO_TEST_CASE(RestartedAgentStartsAnew) {
+// Guards against an engine that takes the run of a restarted agent for that of
+// its predecessor, whose stream was cancelled. The agent crashes without
+// closing its connections, and the lookup is sent to its successor.
+BOOST_AUTO_TEST_CASE(RestartedAgentRunsItsRequestAnew) {
   World world({.entries = 1, .agents = 1, .seed = 2});
   world.Submit(0, world.NewKey(), "r0x", true, 20);
   BOOST_REQUIRE(world.RunUntil([&] { return world.engine(0).starts() == 1; },
@@ -163,16 +163,15 @@
   world.engine(0).CancelAll();
   world.Kill(1, /*silently=*/true);
   world.Restart(1);
-  BOOST_TEST(AllTold(world));
+  BOOST_TEST(RunUntilAllConcluded(world));
   BOOST_TEST(world.oracle().Count(ResultCode::kAnswered) == 1U);
-  CheckHeld(world);
+  CheckInvariants(world);
 }
 
-// One of three entries is killed and never comes back. Callers send new keys
-// of their own to the other two. Two keys in three have the dead entry among
-// their holders; it can't be told from one that is cut off, and for as long as
-// claims are kept these callers would hear "unknown" (result=cannot_vouch).
-// Five seconds are two and a half heartbeat timeouts.
+// Guards against "unknown" (result=cannot_vouch) for new keys after one of
+// three entries is lost for good. Two keys in three have that entry among their
+// holders; since it may only be partitioned, they would stay undecided for as
+// long as claims are kept. Five seconds are two and a half heartbeat timeouts.
 BOOST_AUTO_TEST_CASE(NewKeysAreServedAfterAnEntryIsLostForGood) {
   World world({.entries = 3, .agents = 3, .seed = 1});
   world.RunFor(std::chrono::seconds(5));
@@ -181,17 +180,16 @@
   Submit(
       world,
       {.count = 80, .entries = {2, 0}, .gap = std::chrono::milliseconds(20)});
-  BOOST_TEST(AllTold(world));
+  BOOST_TEST(RunUntilAllConcluded(world));
   BOOST_TEST(world.oracle().Count(ResultCode::kAnswered) == 80U);
-  CheckHeld(world);
+  CheckInvariants(world);
 }
 
-// Two entries take each other for lost: nothing passes between them, while both
-// reach the third, the agents and the platform. Each caller sends its key, new
-// since the cut, to both. Each side could take the other for dead and run the
-// key; the platform gives it to one of them, the other caller hears "unknown"
-// or gets the one answer.
-BOOST_AUTO_TEST_CASE(KeySentToBothSidesOfACutRunsOnce) {
+// Guards against two runs of a key that is sent to both sides of a partition
+// between two entries, while both reach the third, the agents and the platform.
+// Each side presumes the other lost. The platform grants the key to one of
+// them; the other caller gets "unknown" or the same answer.
+BOOST_AUTO_TEST_CASE(KeySentToBothSidesOfAPartitionRunsOnce) {
   World world({.entries = 3, .agents = 2, .seed = 4});
   world.RunFor(std::chrono::seconds(5));
   world.Partition(0, 1);
@@ -203,17 +201,17 @@
     world.Submit(1, key, word, false, 3);
     world.RunFor(std::chrono::milliseconds(20));
   }
-  BOOST_TEST(AllTold(world));
+  BOOST_TEST(RunUntilAllConcluded(world));
   BOOST_TEST(world.oracle().Count(ResultCode::kAnswered) >= 24U);
-  CheckHeld(world);
+  CheckInvariants(world);
 }
 
-// A key runs for one caller; its holders are an entry that this caller's entry
-// reaches and we don't, and one that crashes right after. The caller's retry
-// comes to us. The crashed holder's successor has nothing of the claim, and the
-// third in rank, asked in the silent one's place, never had it: that it knows
-// of no claim proves nothing, and the platform was never asked for the key.
-BOOST_AUTO_TEST_CASE(StandInForALostHolderDoesNotVouch) {
+// Guards against an entry vouching for a key whose claim it never received. One
+// holder is partitioned from the entry that gets the retry, the other one
+// crashes and restarts without the claim. The third in rank, asked in place of
+// the unreachable holder, never had the claim, and the platform was not asked
+// for the key, so that the lack of a claim there proves nothing.
+BOOST_AUTO_TEST_CASE(SubstituteForALostHolderDoesNotVouch) {
   World world({.entries = 4, .agents = 2, .seed = 6});
   world.RunFor(std::chrono::seconds(5));
   world.Partition(0, 2);
@@ -230,14 +228,13 @@
   for (int i = 0; i < 24; ++i) {
     world.Submit(2, keys[i], "r" + std::to_string(i) + "x", false, 3);
   }
-  BOOST_TEST(AllTold(world));
-  CheckHeld(world);
+  BOOST_TEST(RunUntilAllConcluded(world));
+  CheckInvariants(world);
 }
 
-// An entry is lost for good, the engine is slow, and checks pass their
-// deadlines in the line. While an entry is silent the holders are asked before
-// a caller hears "not run"; they confirm it, so that nobody hears "unknown"
-// instead.
+// Guards against "unknown" instead of "not run" for checks that pass their
+// deadline in the queue after an entry is lost for good. While an entry is
+// unreachable, the holders have to confirm "not run", and they do.
 BOOST_AUTO_TEST_CASE(PassedDeadlinesStayNotRunAfterAnEntryIsLost) {
   World world({.entries = 3, .agents = 1, .seed = 1});
   world.RunFor(std::chrono::seconds(5));
@@ -246,15 +243,16 @@
   world.engine(0).set_speed(0.05);
   Submit(world,
          {.count = 40, .entries = {0, 2}, .tokens = 10, .deadline_ms = 2000});
-  BOOST_TEST(AllTold(world));
+  BOOST_TEST(RunUntilAllConcluded(world));
   BOOST_TEST(world.oracle().Count(ResultCode::kDeadlinePassed) > 10U);
   BOOST_TEST(world.oracle().Count(ResultCode::kCannotVouch) == 0U);
-  CheckHeld(world);
+  CheckInvariants(world);
 }
 
-// As above with the platform away: it can't decide, so callers hear at once
-// that nobody knows, and keys whose holders are both here run as ever.
-BOOST_AUTO_TEST_CASE(KeysAreUndecidedAtOnceWhileThePlatformIsAway) {
+// Guards against delayed outcomes while an entry is lost and the platform is
+// unavailable: keys that need its decision end as "unknown" immediately, and
+// keys whose holders are both reachable run.
+BOOST_AUTO_TEST_CASE(KeysAreUndecidedImmediatelyWhileThePlatformIsDown) {
   World world({.entries = 3, .agents = 3, .seed = 1});
   world.RunFor(std::chrono::seconds(5));
   world.platform().set_mode(fakes::PlatformCore::Mode::kOutage);
@@ -268,32 +266,32 @@
   BOOST_TEST(answered > 0U);
   BOOST_TEST(world.oracle().Count(ResultCode::kCannotVouch) ==
              kKeys - answered);
-  CheckHeld(world);
+  CheckInvariants(world);
 }
 
-// An entry is stopped in order and started again while callers go on sending
-// new keys to all that take them. The new one dials the others and tells them
-// so; each takes this for the end of a cut and can't vouch for keys of up to a
-// second later, all at the same moment, so that every caller hears "unknown".
-BOOST_AUTO_TEST_CASE(RestartOfAnEntryCostsNoKeys) {
+// Guards against "unknown" for new keys while an entry restarts gracefully. The
+// new process dials the others; if each took this for the end of a partition,
+// all of them at the same time could not vouch for keys of up to a second
+// later.
+BOOST_AUTO_TEST_CASE(NewKeysAreServedWhileAnEntryRestarts) {
   World world({.entries = 3, .agents = 3, .seed = 2});
-  StopAndStart(world, 1);
+  RestartGracefully(world, 1);
   constexpr size_t kKeys = 200;
   Submit(world, {.count = kKeys,
                  .entries = {0, 2},
                  .gap = std::chrono::milliseconds(25)});
-  BOOST_TEST(AllTold(world));
+  BOOST_TEST(RunUntilAllConcluded(world));
   BOOST_TEST(world.oracle().Count(ResultCode::kAnswered) == kKeys);
-  CheckHeld(world);
+  CheckInvariants(world);
 }
 
-// A balancer sends to an entry right after its start: it has the address of a
-// predecessor, or all others are away. The entry knows neither the other
-// entries nor an agent yet. Its callers wait for the moment that it takes to
-// meet them, where they heard "unknown" (cannot_vouch) or no_server.
-BOOST_AUTO_TEST_CASE(FirstRequestsOfAnEntryWaitUntilItHasMetTheOthers) {
+// Guards against "unknown" (cannot_vouch) or no_server for requests sent to an
+// entry right after its start, when it is not yet connected to the other
+// entries and agents. A load balancer does so if the entry has the address of a
+// predecessor or all others are down. Such requests wait for the connections.
+BOOST_AUTO_TEST_CASE(FirstRequestsWaitUntilTheEntryIsConnected) {
   World world({.entries = 2, .agents = 2, .seed = 2});
-  StopAndStart(world, 1);
+  RestartGracefully(world, 1);
   BOOST_REQUIRE(
       world.RunUntil([&] { return world.entry(1)->config().version() > 0; },
                      std::chrono::seconds(10)));
@@ -301,13 +299,14 @@
   Submit(
       world,
       {.count = kKeys, .entries = {1}, .gap = std::chrono::milliseconds(25)});
-  BOOST_TEST(AllTold(world));
+  BOOST_TEST(RunUntilAllConcluded(world));
   BOOST_TEST(world.oracle().Count(ResultCode::kAnswered) == kKeys);
-  CheckHeld(world);
+  CheckInvariants(world);
 }
 
-// An entry is frozen past the heartbeat timeout and wakes with its old view.
-// It can't vouch for keys sent meanwhile; the other holder can.
+// Guards against an entry that is frozen for longer than the heartbeat timeout
+// and then vouches, with an outdated view, for keys sent meanwhile. The
+// other holder can vouch for them.
 BOOST_AUTO_TEST_CASE(FrozenHolderDoesNotVouch) {
   World world({.seed = 5});
   world.Freeze(1, std::chrono::seconds(4));
@@ -320,8 +319,8 @@
   for (int i = 0; i < 8; ++i) {
     world.Submit(1, keys[i], "r" + std::to_string(i) + "x", false, 4);
   }
-  BOOST_TEST(AllTold(world));
-  CheckHeld(world);
+  BOOST_TEST(RunUntilAllConcluded(world));
+  CheckInvariants(world);
 }
 
 }  // namespace lavenderkeel::fuzz
--- a/test/gate/reservation_queue_test.cc
+++ b/test/gate/reservation_queue_test.cc
@@ -46,7 +46,8 @@
   BOOST_TEST(queue.Next(TimePoint(), kAnyTier)->key.lo == 2U);
   queue.Take(soon.id());
   BOOST_TEST(queue.Next(TimePoint(), kAnyTier)->key.lo == 1U);
-  // Aging: what has waited long enough goes before those with a deadline.
+  // Aging: a reservation that has waited for 30 s precedes those with a
+  // deadline.
   BOOST_TEST(
       queue.Next(TimePoint(std::chrono::seconds(31)), kAnyTier)->key.lo == 3U);
 }
