--- a/lavenderkeel/gate.h
+++ b/lavenderkeel/gate.h
@@ -1,4 +1,5 @@
-// Module gate: the agent's side of a request, from reservation to kept answer.
+// Module gate: the agent's handling of a request, from reservation to stored
+// answer.
 #ifndef LAVENDERKEEL_GATE_H_
 #define LAVENDERKEEL_GATE_H_
 
--- a/lavenderkeel/gate/agent_node.cc
+++ b/lavenderkeel/gate/agent_node.cc
@@ -122,7 +122,8 @@
   CheckGap();
   const Member* peer = members_.FindByLink(link);
   if (peer == nullptr) {
-    // A replaced link of the peer: what still comes on it is of the past.
+    // The link was replaced by a newer one to the same peer; messages on it are
+    // stale.
     return;
   }
   members_.OnHeard(link);
@@ -170,9 +171,10 @@
 }
 
 bool AgentNode::CanExit() const {
-  // The notice has to reach the entries before the sockets close.
-  constexpr auto kNoticeTime = std::chrono::milliseconds(100);
-  return leaving_ && gate_.Idle() && clock_.Now() - left_at_ > kNoticeTime;
+  // Leaves time for the leave notice to reach the entries before the sockets
+  // close.
+  constexpr auto kLeaveNoticeTime = std::chrono::milliseconds(100);
+  return leaving_ && gate_.Idle() && clock_.Now() - left_at_ > kLeaveNoticeTime;
 }
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/gate/agent_node.h
+++ b/lavenderkeel/gate/agent_node.h
@@ -13,10 +13,10 @@
 
 namespace lavenderkeel {
 
-/// Everything that an agent process decides, without its sockets.
+/// The decision logic of an agent process, without sockets.
 ///
-/// Whoever drives it hands in events and carries out the actions that it then
-/// finds in the outbox.
+/// The driver passes events in and carries out the actions that are then in the
+/// outbox.
 class AgentNode {
  public:
   struct Options {
@@ -24,7 +24,7 @@
     GateController::Options gate;
     Registration::Options registration = {.read_list = false};
     std::vector<std::string> seeds;
-    /// What the backend server offers: "engine" or "service/NAME".
+    /// What the backend server serves: "engine" or "service/NAME".
     std::string serves = "engine";
   };
 
@@ -39,7 +39,7 @@
   GateController& gate() { return gate_; }
   MemberTable& members() { return members_; }
 
-  /// @param address the peer address really bound
+  /// @param address the peer address that the socket is bound to
   void Start(const std::string& address);
   void Tick();
   bool OnLinkUp(LinkId link,
@@ -52,11 +52,11 @@
 
   /// Begins the graceful shutdown.
   void Leave();
-  /// True once nothing would be cut by the end of the process.
+  /// True once the process can end without cutting an answer off.
   bool CanExit() const;
 
-  /// The fencing number of this incarnation; 0 while the platform has not
-  /// given one.
+  /// The fencing number of this incarnation; 0 until the platform has assigned
+  /// one.
   uint64_t fence() const { return fence_; }
 
  private:
--- a/lavenderkeel/gate/answer_feed.cc
+++ b/lavenderkeel/gate/answer_feed.cc
@@ -68,7 +68,7 @@
   auto [position, last] = by_key_.equal_range(key);
   while (position != last) {
     const auto reader = readers_.find(position->second);
-    if (Pump(reader->first, reader->second)) {
+    if (SendAvailable(reader->first, reader->second)) {
       readers_.erase(reader);
       position = by_key_.erase(position);
     } else {
@@ -77,7 +77,7 @@
   }
 }
 
-bool AnswerFeed::Pump(const ReaderId& id, Reader& reader) {
+bool AnswerFeed::SendAvailable(const ReaderId& id, Reader& reader) {
   const auto& [link, name] = id;
   const uint64_t subscription = name.first;
   const Run* run = runs_.Find(reader.key);
@@ -87,13 +87,13 @@
   const uint64_t length = run->answer.size();
   const bool ended =
       run->state == Run::State::kFinished || run->state == Run::State::kGone;
-  // Nobody needs the rest of what will never be whole.
+  // Readers don't need the rest of an answer that stays incomplete.
   const bool failed = ended && run->code != ResultCode::kAnswered;
   while (subscription != 0 && !failed && reader.sent < length &&
-         reader.sent - reader.acked < kWindow) {
-    const size_t count =
-        std::min({static_cast<size_t>(length - reader.sent), kMaxChunk,
-                  static_cast<size_t>(kWindow - (reader.sent - reader.acked))});
+         reader.sent - reader.acked < kWindowBytes) {
+    const size_t count = std::min(
+        {static_cast<size_t>(length - reader.sent), kMaxChunkBytes,
+         static_cast<size_t>(kWindowBytes - (reader.sent - reader.acked))});
     Chunk chunk;
     chunk.subscription = subscription;
     chunk.offset = reader.sent;
@@ -113,8 +113,8 @@
   finish.code =
       static_cast<uint32_t>(gone ? ResultCode::kAnswerGone : run->code);
   finish.length = length;
-  // Failure: bytes are lost or mixed on the way. Symptom: a cut answer that
-  // looks whole. The reader compares both before it ends the caller's answer.
+  // The reader compares length and checksum before it ends the caller's answer,
+  // so that bytes lost or reordered on the way can't pass as a complete answer.
   finish.checksum = HashBytes(run->answer);
   outbox_.Send(link, finish);
   return true;
--- a/lavenderkeel/gate/answer_feed.h
+++ b/lavenderkeel/gate/answer_feed.h
@@ -10,18 +10,19 @@
 
 namespace lavenderkeel {
 
-/// Sends answers to the entries that subscribed, each from its own offset.
+/// The answer streams to the subscribed entries, each with its own offset.
 ///
-/// At most a window of bytes is on the way to a subscriber: a slow caller
-/// costs the entry one window of memory, not the whole answer.
+/// At most kWindowBytes of an answer are unacknowledged per subscriber, so that
+/// a slow caller costs the entry one window of memory instead of the whole
+/// answer.
 class AnswerFeed {
  public:
-  static constexpr size_t kWindow = size_t{256} << 10;
-  static constexpr size_t kMaxChunk = size_t{64} << 10;
+  static constexpr size_t kWindowBytes = size_t{256} << 10;
+  static constexpr size_t kMaxChunkBytes = size_t{64} << 10;
 
   AnswerFeed(RunTable& runs, Outbox& outbox) : runs_(runs), outbox_(outbox) {}
 
-  /// Subscription 0 gets no bytes, only the end.
+  /// Subscription 0 is a control subscription: it receives only the end.
   void Subscribe(LinkId link,
                  uint64_t subscription,
                  const RequestKey& key,
@@ -29,14 +30,15 @@
   void Ack(LinkId link, uint64_t subscription, uint64_t offset);
   void Unsubscribe(LinkId link, uint64_t subscription);
   void DropLink(LinkId link);
-  /// The answer grew or ended.
+  /// Called when the answer grew or ended.
   void OnProgress(const RequestKey& key);
   bool HasReaders() const { return !readers_.empty(); }
   bool HasReaders(const RequestKey& key) const { return by_key_.contains(key); }
   bool HasReadersBesides(LinkId link, const RequestKey& key) const;
 
  private:
-  /// Control subscriptions are per key, others are unique in a link.
+  /// Control subscriptions are identified by key, others by their number, which
+  /// is unique within a link.
   using ReaderId = std::pair<LinkId, std::pair<uint64_t, RequestKey>>;
   struct Reader {
     RequestKey key;
@@ -47,8 +49,8 @@
   static ReaderId MakeId(LinkId link,
                          uint64_t subscription,
                          const RequestKey& key);
-  /// Sends what the window allows; true once the end was sent.
-  bool Pump(const ReaderId& id, Reader& reader);
+  /// Sends as much as the window allows. Returns true once the end was sent.
+  bool SendAvailable(const ReaderId& id, Reader& reader);
 
   RunTable& runs_;
   Outbox& outbox_;
--- a/lavenderkeel/gate/answer_lines.cc
+++ b/lavenderkeel/gate/answer_lines.cc
@@ -6,17 +6,17 @@
 
 namespace json = boost::json;
 
-std::string TextLine(std::string_view text) {
+std::string FormatTextLine(std::string_view text) {
   return json::serialize(json::object{{"text", text}}) + "\n";
 }
 
-std::string ServiceLine(int status, std::string_view content_type) {
+std::string FormatServiceLine(int status, std::string_view content_type) {
   return json::serialize(
              json::object{{"status", status}, {"content_type", content_type}}) +
          "\n";
 }
 
-std::optional<uint64_t> CompletionCount(std::string_view finish_json) {
+std::optional<uint64_t> ParseCompletionTokens(std::string_view finish_json) {
   boost::system::error_code error;
   const json::value finish = json::parse(finish_json, error);
   const json::value* count =
@@ -27,8 +27,8 @@
   return static_cast<uint64_t>(count->get_int64());
 }
 
-std::string WithRequestId(const std::string& body,
-                          const std::string& request_id) {
+std::string AddRequestId(const std::string& body,
+                         const std::string& request_id) {
   boost::system::error_code error;
   json::value document = json::parse(body, error);
   if (error || !document.is_object()) {
--- a/lavenderkeel/gate/answer_lines.h
+++ b/lavenderkeel/gate/answer_lines.h
@@ -8,20 +8,20 @@
 
 namespace lavenderkeel::internal {
 
-// An answer is kept as lines of JSON: the head that the entry sent, then one
-// line per text of the engine and its finish, or for a service one line with
-// status and type, and the body behind it.
+// A stored answer starts with the head that the entry sent. For an engine, one
+// JSON line per text and the finish line follow; for a service, one JSON line
+// with status and content type and then the body.
 
-std::string TextLine(std::string_view text);
-std::string ServiceLine(int status, std::string_view content_type);
+std::string FormatTextLine(std::string_view text);
+std::string FormatServiceLine(int status, std::string_view content_type);
 
-/// How many texts came before the finish, as the engine counts them in its
-/// usage; nothing where it doesn't say.
-std::optional<uint64_t> CompletionCount(std::string_view finish_json);
+/// The number of texts before the finish according to the engine's usage;
+/// nullopt if the engine doesn't report it.
+std::optional<uint64_t> ParseCompletionTokens(std::string_view finish_json);
 
-/// Adds the request id and streaming to an engine's request body.
-std::string WithRequestId(const std::string& body,
-                          const std::string& request_id);
+/// Sets the request id and enables streaming in an engine's request body.
+std::string AddRequestId(const std::string& body,
+                         const std::string& request_id);
 
 }  // namespace lavenderkeel::internal
 
--- a/lavenderkeel/gate/gate_controller.cc
+++ b/lavenderkeel/gate/gate_controller.cc
@@ -35,10 +35,10 @@
             OfferSlots();
           },
           [this] {
-            // The entries hear that there is no slot before they place
-            // anew what they get back.
+            // The entries must learn that the agent has no slot before they
+            // place the returned requests again.
             signal_unreachable_.emit();
-            GiveBack(ResultCode::kServerUnreachable);
+            ReturnUnstarted(ResultCode::kServerUnreachable);
           }) {
   runs_.set_in_use(
       [this](const RequestKey& key) { return feed_.HasReaders(key); });
@@ -122,9 +122,9 @@
   }
   Run* known = runs_.Find(key);
   if (known != nullptr && known->started_here()) {
-    // Failure: the same key is sent twice, by a retry or a second entry.
-    // Symptom: it runs twice. A key that started here never starts again; the
-    // sender reads the one answer.
+    // The key is sent twice by a retry or by a second entry. A key that has
+    // started here never starts again: the sender reads the existing answer, or
+    // the key would run twice.
     offered_.erase({key, *peer});
     Accept(link, go);
     OfferSlots();
@@ -148,7 +148,7 @@
   run.go = std::move(go);
   offered_.erase(offered);
   Accept(link, run.go);
-  ready_[++last_ready_] = key;
+  ready_[++last_ready_number_] = key;
   StartReady();
 }
 
@@ -191,19 +191,20 @@
     return;
   }
   if (attach.seal) {
-    // Failure: two entries that are cut from each other both ask all agents and
-    // each is the last to ask at some of them. Symptom: both hear "not here"
-    // everywhere and both start the key. The higher ballot wins at every agent,
-    // so that the other hears of it at one at least, or has its go refused.
+    // Two entries without a connection to each other may both ask all agents
+    // for the key, and each may be the last to ask at some of them. Without an
+    // order both would get NotHere everywhere and both would start the key. The
+    // higher ballot wins at every agent, so the other entry is rejected by at
+    // least one agent, here or when it sends Go.
     if (run != nullptr && run->allowed != *peer &&
         std::pair(attach.ballot, *peer) <
             std::pair(run->ballot, run->allowed)) {
       Reject(link, key, attach.subscription, ResultCode::kSealed);
       return;
     }
-    // Failure: the sender asks because it believes the former owner dead; the
-    // owner wakes and starts the key here. Symptom: a second run. From this
-    // answer on only the asker may start it here, so "not here" stays true.
+    // The sender asks because it takes the former owner for dead. The owner may
+    // resume and send Go, which would be a second run: after this reply only
+    // the sender may start the key here, so that NotHere stays true.
     Run& sealed = runs_.Add(key, clock_.Now());
     sealed.allowed = *peer;
     sealed.ballot = attach.ballot;
@@ -229,7 +230,7 @@
     return;
   }
   if (!cancel.by_caller && feed_.HasReadersBesides(link, key)) {
-    // Another entry's caller waits for the same answer.
+    // A caller at another entry waits for the same answer.
     return;
   }
   if (run->state == Run::State::kReady) {
@@ -249,13 +250,13 @@
   }
   policy_ = policy;
   for (const uint32_t tier : policy_.closed_tiers) {
-    RejectWaiting(
+    RejectReservations(
         queue_.Select([tier](const Reservation& r) { return r.tier == tier; }),
         ResultCode::kTierClosed);
   }
   if (policy_.drained) {
-    RejectWaiting(queue_.Select([](const Reservation&) { return true; }),
-                  ResultCode::kLeaving);
+    RejectReservations(queue_.Select([](const Reservation&) { return true; }),
+                       ResultCode::kLeaving);
   }
   log_.Info("policy_in_force",
             {{"version", policy_.version},
@@ -264,8 +265,8 @@
   OfferSlots();
 }
 
-void GateController::RejectWaiting(const std::vector<ReservationId>& ids,
-                                   ResultCode code) {
+void GateController::RejectReservations(const std::vector<ReservationId>& ids,
+                                        ResultCode code) {
   for (const ReservationId& id : ids) {
     queue_.Remove(id);
     const Member* entry = members_.Find(id.second.instance);
@@ -281,7 +282,8 @@
   if (!peer.has_value()) {
     return;
   }
-  // The entry reserves anew when it is back; a slot must not wait for it.
+  // The entry reserves again after it reconnects; no slot is kept for it until
+  // then.
   const auto of_peer = [&peer](const Reservation& reservation) {
     return reservation.entry == *peer;
   };
@@ -294,16 +296,16 @@
   OfferSlots();
 }
 
-bool GateController::TierOpen(uint32_t tier) const {
+bool GateController::IsBelowTierLimit(uint32_t tier) const {
   for (size_t i = 0; i < policy_.limited_tiers.size(); ++i) {
     if (policy_.limited_tiers[i] == tier && i < policy_.limits.size()) {
-      return InFlightOfTier(tier) < policy_.limits[i];
+      return CountInFlight(tier) < policy_.limits[i];
     }
   }
   return true;
 }
 
-uint32_t GateController::InFlightOfTier(uint32_t tier) const {
+uint32_t GateController::CountInFlight(uint32_t tier) const {
   uint32_t count = 0;
   for (const RunId run : server_.running()) {
     count += runs_.FindByRun(run)->reservation.tier == tier;
@@ -317,18 +319,19 @@
   return count;
 }
 
-uint32_t GateController::committed() const {
-  return static_cast<uint32_t>(server_.occupied() + ready_.size() +
+uint32_t GateController::CommittedSlots() const {
+  return static_cast<uint32_t>(server_.occupied_slots() + ready_.size() +
                                offered_.size());
 }
 
-uint32_t GateController::PlacesAtServer() const {
+uint32_t GateController::MaxCommittedSlots() const {
   return server_.unreachable() ? server_.limit()
                                : server_.limit() + options_.lookahead;
 }
 
-void GateController::GiveBack(ResultCode code) {
-  RejectWaiting(queue_.Select([](const Reservation&) { return true; }), code);
+void GateController::ReturnUnstarted(ResultCode code) {
+  RejectReservations(queue_.Select([](const Reservation&) { return true; }),
+                     code);
   while (!ready_.empty()) {
     const RequestKey key = ready_.begin()->second;
     ready_.erase(ready_.begin());
@@ -341,15 +344,16 @@
     return;
   }
   const TimePoint now = clock_.Now();
-  while (committed() < PlacesAtServer()) {
-    const Reservation* next =
-        queue_.Next(now, [this](uint32_t tier) { return TierOpen(tier); });
+  while (CommittedSlots() < MaxCommittedSlots()) {
+    const Reservation* next = queue_.Next(
+        now, [this](uint32_t tier) { return IsBelowTierLimit(tier); });
     if (next == nullptr) {
       return;
     }
     const Reservation taken = queue_.Take(next->id());
     const Member* entry = members_.Find(taken.entry);
-    // A restarted entry knows nothing of its predecessor's reservations.
+    // A restarted entry doesn't know the reservations of its former
+    // incarnation.
     if (entry == nullptr || !entry->inbound.has_value()) {
       continue;
     }
@@ -362,8 +366,8 @@
 }
 
 void GateController::StartReady() {
-  while (!ready_.empty() && server_.occupied() < server_.limit()) {
-    // Of those accepted the most urgent first, in order of arrival in a tier.
+  while (!ready_.empty() && server_.occupied_slots() < server_.limit()) {
+    // Highest tier first, in order of arrival within a tier.
     const auto first =
         std::ranges::min_element(ready_, {}, [this](const auto& item) {
           return std::pair(runs_.Find(item.second)->reservation.tier,
@@ -384,8 +388,8 @@
     }
     return expired;
   });
-  // An entry that does not answer must not hold a slot; its request goes to
-  // the end of the line and may be asked for again.
+  // An entry that doesn't answer must not hold a slot. Its reservation moves to
+  // the end of the queue, from where it may be offered a slot again.
   for (Reservation& reservation : late) {
     reservation.arrived = now;
     reservation.deadline.reset();
@@ -400,12 +404,12 @@
   server_.Tick(now);
   StartReady();
   OfferSlots();
-  // Failure: lookups fill every slot when a letter check with a deadline
-  // comes. Symptom: the check is refused or late while lookups run. One run is
-  // given up at a time, and only work that may be repeated.
+  // Long-running lookups may occupy every slot when a deadline-bound request
+  // arrives, which would then be refused or late. One run is cancelled at a
+  // time, and only a repeatable one.
   const Reservation* next = queue_.Next(now, [](uint32_t) { return true; });
   const bool urgent = next != nullptr && next->deadline_bound &&
-                      TierOpen(next->tier) &&
+                      IsBelowTierLimit(next->tier) &&
                       now - next->arrived >= options_.preempt_after;
   if (urgent && !server_.cancelling() &&
       offered_.size() + ready_.size() <= options_.lookahead) {
@@ -415,9 +419,9 @@
 
 void GateController::Leave() {
   leaving_ = true;
-  // What was accepted but not started would start here only after others were
-  // told that nothing new does.
-  GiveBack(ResultCode::kLeaving);
+  // An accepted run must not start after the entries were notified that this
+  // agent starts no new work.
+  ReturnUnstarted(ResultCode::kLeaving);
   for (const auto& [id, offer] : offered_) {
     const Member* entry = members_.Find(id.second.instance);
     if (entry != nullptr && entry->inbound.has_value()) {
@@ -428,7 +432,7 @@
 }
 
 bool GateController::Idle() const {
-  return server_.occupied() == 0 && ready_.empty() && !feed_.HasReaders();
+  return server_.occupied_slots() == 0 && ready_.empty() && !feed_.HasReaders();
 }
 
 void GateController::FillLoad(Heartbeat& heartbeat) const {
--- a/lavenderkeel/gate/gate_controller.h
+++ b/lavenderkeel/gate/gate_controller.h
@@ -22,21 +22,21 @@
 /// The only path to one backend server.
 ///
 /// Engines know no priorities and admit requests as they arrive, and several
-/// entries can't order work between them. Here every request of the server is
-/// seen, so tier order, the in-flight limit, cancelling, and "was it started?"
-/// are exact and local.
+/// entries can't order work among themselves. The gate sees every request of
+/// the server, so that tier order, the in-flight limit, cancellation and
+/// whether a request was started are exact local decisions.
 class GateController {
  public:
   struct Options {
     ReservationQueue::Options queue;
     RunController::Options server;
     RunTable::Options runs;
-    /// Reservations asked for their body before a slot is free: hides the
-    /// round trip to the entry.
+    /// Reservations offered a slot before one is free, which hides the round
+    /// trip to the entry.
     uint32_t lookahead = 1;
-    /// How long an entry may take to send the body it was asked for.
+    /// How long an entry may take to send the body after a slot offer.
     Duration offer_timeout = std::chrono::seconds(1);
-    /// How long a deadline-bound reservation waits before it preempts.
+    /// How long a deadline-bound reservation waits before it preempts a run.
     Duration preempt_after = std::chrono::milliseconds(30);
     size_t max_waiting = 20'000;
   };
@@ -48,7 +48,7 @@
                  Metrics& metrics,
                  Outbox& outbox);
 
-  // From entries.
+  // Messages from entries.
   void OnReserve(LinkId link, const Reserve& reserve);
   void OnWithdraw(LinkId link, const Withdraw& withdraw);
   void OnGo(LinkId link, Go go);
@@ -59,18 +59,19 @@
   void OnPolicy(const AgentPolicy& policy);
   void OnLinkDown(LinkId link);
 
-  /// What runs at the server, and what comes from it.
+  /// The runs at the backend server; also takes the server's events.
   RunController& server() { return server_; }
 
   void Tick();
-  /// Takes no new work; what waits is sent back to its entries at once.
+  /// Accepts no new work and returns waiting requests to their entries at once.
   void Leave();
-  /// True when nothing runs and no answer is on its way.
+  /// True if no run is active and no answer is being sent.
   bool Idle() const;
 
   void FillLoad(Heartbeat& heartbeat) const;
   const RunTable& runs() const { return runs_; }
-  /// The server accepts no connections any more; the load says so.
+  /// Emitted when the server stops accepting connections, which changes the
+  /// load that FillLoad() reports.
   sigc::signal<void()>& signal_unreachable() { return signal_unreachable_; }
 
  private:
@@ -83,19 +84,21 @@
               const RequestKey& key,
               uint64_t subscription,
               ResultCode code);
-  /// Confirms a go and subscribes its sender.
+  /// Confirms a Go message and subscribes its sender to the answer.
   void Accept(LinkId link, const Go& go);
   void OfferSlots();
-  bool TierOpen(uint32_t tier) const;
-  uint32_t InFlightOfTier(uint32_t tier) const;
-  uint32_t committed() const;
-  /// Of running, accepted and offered ones together.
-  uint32_t PlacesAtServer() const;
-  /// Sends back what waits and what was accepted but not started.
-  void GiveBack(ResultCode code);
+  bool IsBelowTierLimit(uint32_t tier) const;
+  uint32_t CountInFlight(uint32_t tier) const;
+  uint32_t CommittedSlots() const;
+  /// The limit of CommittedSlots().
+  uint32_t MaxCommittedSlots() const;
+  /// Returns reservations and accepted runs that have not started to their
+  /// entries.
+  void ReturnUnstarted(ResultCode code);
   void StartReady();
   void ExpireOffers(TimePoint now);
-  void RejectWaiting(const std::vector<ReservationId>& ids, ResultCode code);
+  void RejectReservations(const std::vector<ReservationId>& ids,
+                          ResultCode code);
   std::optional<PeerId> PeerOf(LinkId link) const;
 
   Options options_;
@@ -110,7 +113,7 @@
   RunController server_;
   std::map<ReservationId, Offered> offered_;
   std::map<uint64_t, RequestKey> ready_;
-  uint64_t last_ready_ = 0;
+  uint64_t last_ready_number_ = 0;
   AgentPolicy policy_;
   bool leaving_ = false;
   sigc::signal<void()> signal_unreachable_;
--- a/lavenderkeel/gate/run_controller.cc
+++ b/lavenderkeel/gate/run_controller.cc
@@ -37,10 +37,10 @@
   const TimePoint now = clock_.Now();
   run.state = Run::State::kRunning;
   run.run = ++last_run_;
-  // Failure: a restarted agent counts its runs from one again and repeats the
-  // id that its predecessor used for the same key. Symptom: the engine takes
-  // the start for a repetition and serves the old, cancelled stream. With the
-  // incarnation in it, no id comes twice.
+  // A restarted agent counts its runs from one again and could repeat the id
+  // that its former incarnation used for the same key. The engine would take
+  // the start for a repetition and serve the old, cancelled stream; the
+  // incarnation in the id prevents that.
   run.request_id = key.ToString() + "." + std::to_string(self_.id.incarnation) +
                    "." + std::to_string(run.run);
   run.started = now;
@@ -58,7 +58,7 @@
   metrics_.Add("runs_started_total");
   std::string body(run.go.body.begin(), run.go.body.end());
   if (!run.go.service) {
-    body = internal::WithRequestId(body, run.request_id);
+    body = internal::AddRequestId(body, run.request_id);
   }
   outbox_.Push(ServerStart{.run = run.run,
                            .service = run.go.service,
@@ -79,7 +79,7 @@
   const RequestKey key = *runs_.KeyOf(id);
   const TimePoint now = clock_.Now();
   if (index < run->next_index) {
-    // A resumed stream may repeat what the broken one had brought.
+    // A resumed stream may repeat events that arrived before the break.
     return;
   }
   if (index > run->next_index) {
@@ -97,9 +97,9 @@
   }
   run->last_event = now;
   run->resumes = 0;
-  run->unreachable = 0;
+  run->unreachable_resumes = 0;
   ++run->next_index;
-  run->answer += internal::TextLine(text);
+  run->answer += internal::FormatTextLine(text);
   if (run->answer.size() > options_.max_answer_bytes) {
     Cancel(*run);
     Finish(key, ResultCode::kAnswerTooLarge);
@@ -114,10 +114,11 @@
     return;
   }
   reachability_.OnAnswered();
-  // Failure: an engine falls silent and then sends its finish, without pieces
-  // in between. Symptom: a part is passed on as the whole answer. The engine's
-  // own count says what is missing, and the rest is read from there.
-  const std::optional<uint64_t> count = internal::CompletionCount(finish_json);
+  // An engine may stall and then send its finish without the texts in between,
+  // which would pass a partial answer on as complete. The engine's own count
+  // shows that texts are missing, and the stream is resumed from there.
+  const std::optional<uint64_t> count =
+      internal::ParseCompletionTokens(finish_json);
   if (count.has_value() && *count > run->next_index) {
     if (run->resumes < options_.max_resumes) {
       Resume(id, *run);
@@ -146,17 +147,17 @@
     Finish(key, ResultCode::kAnswerTooLarge);
     return;
   }
-  run->answer += internal::ServiceLine(status, content_type);
+  run->answer += internal::FormatServiceLine(status, content_type);
   run->answer += body;
   speed_.ObserveRun(clock_.Now() - run->started);
   Finish(key, ResultCode::kAnswered);
 }
 
-void RunController::NoteReachability(ServerEnd end) {
+void RunController::UpdateReachability(ServerEnd end) {
   if (end != ServerEnd::kUnreachable) {
     return;
   }
-  const bool first = !reachability_.refuses();
+  const bool first = !reachability_.IsRefusing();
   reachability_.OnRefused(clock_.Now());
   if (first) {
     log_.Warn("server_unreachable",
@@ -166,19 +167,20 @@
 }
 
 void RunController::OnServerEnd(RunId id, ServerEnd end) {
-  NoteReachability(end);
+  UpdateReachability(end);
   Run* run = runs_.FindByRun(id);
   if (run == nullptr || run->state != Run::State::kRunning) {
     return;
   }
   const RequestKey key = *runs_.KeyOf(id);
-  const bool fresh = run->next_index == 0 && run->resumes == 0;
-  if (end == ServerEnd::kUnreachable && fresh) {
+  const bool nothing_received = run->next_index == 0 && run->resumes == 0;
+  if (end == ServerEnd::kUnreachable && nothing_received) {
     Finish(key, ResultCode::kServerUnreachable);
     return;
   }
-  run->unreachable = end == ServerEnd::kUnreachable ? run->unreachable + 1 : 0;
-  if (HasEnded(*run, end)) {
+  run->unreachable_resumes =
+      end == ServerEnd::kUnreachable ? run->unreachable_resumes + 1 : 0;
+  if (HasEngineEnded(*run, end)) {
     metrics_.Add("wasted_prefill_tokens{cause=\"server_crashed\"}",
                  run->reservation.prompt_tokens);
     Finish(key, ResultCode::kServerCrashed);
@@ -192,25 +194,28 @@
     Finish(key, ResultCode::kServerFailed);
     return;
   }
-  // Retried from Tick, so that a server that is down is not hammered.
-  constexpr Duration kFirstPause = std::chrono::milliseconds(50);
-  constexpr uint32_t kMostDoublings = 6;
-  run->last_event = clock_.Now() - options_.stream_silence +
-                    kFirstPause * (1 << std::min(run->resumes, kMostDoublings));
+  // Tick() resumes the stream after a backoff, so that a server that is down
+  // isn't flooded with connections.
+  constexpr Duration kInitialBackoff = std::chrono::milliseconds(50);
+  constexpr uint32_t kMaxDoublings = 6;
+  run->last_event =
+      clock_.Now() - options_.stream_silence +
+      kInitialBackoff * (1 << std::min(run->resumes, kMaxDoublings));
 }
 
-bool RunController::HasEnded(const Run& run, ServerEnd end) const {
+bool RunController::HasEngineEnded(const Run& run, ServerEnd end) const {
   if (run.go.service || run.resumes == 0) {
     return false;
   }
-  // It has forgotten a stream that it ran, so it has started again since.
-  return end == ServerEnd::kRefused || run.unreachable >= options_.ended_after;
+  // An engine that doesn't know a stream that it ran has restarted since.
+  return end == ServerEnd::kRefused ||
+         run.unreachable_resumes >= options_.refusals_until_ended;
 }
 
 void RunController::Resume(RunId id, Run& run) {
-  // Failure: the stream broke or went silent; the engine runs on. Symptom: a
-  // cut answer, or the prompt computed twice. The engine keeps the stream, so
-  // it is read on from the next event and nothing runs again.
+  // The stream broke or stalled while the engine runs on. The engine keeps the
+  // stream, so reading continues at the next event: the answer isn't cut off,
+  // and the prompt isn't computed twice.
   ++run.resumes;
   run.last_event = clock_.Now();
   metrics_.Add("stream_resumes_total");
@@ -255,25 +260,26 @@
   const bool may_run_again =
       Describe(code).outcome == Outcome::kNotRun || run.reservation.repeatable;
   if (code != ResultCode::kAnswered && run.reservation.repeatable) {
-    // Any entry may send it again.
+    // Any entry may send the request again.
     runs_.Erase(key);
   } else if (code != ResultCode::kAnswered && may_run_again) {
-    // It did not run; only the entry that had it may send it again.
+    // The request did not run; only the entry that sent it may send it again.
     const PeerId allowed = run.allowed;
     const uint64_t ballot = run.ballot;
     run = Run();
     run.allowed = allowed;
     run.ballot = ballot;
   } else {
-    runs_.Keep(key);
+    runs_.RetainAnswer(key);
   }
   on_slot_free_();
 }
 
-const Run* RunController::CheapestVictim(uint32_t tier) const {
+const Run* RunController::FindCheapestVictim(uint32_t tier) const {
   const Run* victim = nullptr;
   const auto cost = [](const Run& run) {
-    // Lowest tier first, then without output yet, then least prefill.
+    // Lowest tier first, then runs without output, then the fewest prompt
+    // tokens.
     return std::tuple(-static_cast<int64_t>(run.reservation.tier),
                       run.next_index, run.reservation.prompt_tokens);
   };
@@ -289,7 +295,7 @@
 }
 
 void RunController::PreemptFor(const Reservation& reservation) {
-  const Run* victim = CheapestVictim(reservation.tier);
+  const Run* victim = FindCheapestVictim(reservation.tier);
   if (victim == nullptr) {
     return;
   }
@@ -304,12 +310,12 @@
   Finish(key, ResultCode::kPreempted);
 }
 
-void RunController::ResumeSilent(TimePoint now) {
+void RunController::ResumeStalledStreams(TimePoint now) {
   const std::vector<RunId> ids(running_.begin(), running_.end());
   for (const RunId id : ids) {
     Run* run = runs_.FindByRun(id);
-    const bool silent = now - run->last_event > options_.stream_silence;
-    if (!silent || run->go.service) {
+    const bool stalled = now - run->last_event > options_.stream_silence;
+    if (!stalled || run->go.service) {
       continue;
     }
     if (run->resumes >= options_.max_resumes) {
@@ -321,7 +327,7 @@
 }
 
 void RunController::Tick(TimePoint now) {
-  ResumeSilent(now);
+  ResumeStalledStreams(now);
   limit_.Tick(now, static_cast<uint32_t>(running_.size()));
 }
 
@@ -331,7 +337,7 @@
   heartbeat.prefill_us = static_cast<float>(speed_.prefill_us());
   heartbeat.decode_us = static_cast<float>(speed_.decode_us());
   heartbeat.run_us = static_cast<float>(speed_.run_us());
-  const Run* lowest = CheapestVictim(0);
+  const Run* lowest = FindCheapestVictim(0);
   heartbeat.lower_repeatable =
       lowest == nullptr ? -1 : static_cast<int32_t>(lowest->reservation.tier);
 }
--- a/lavenderkeel/gate/run_controller.h
+++ b/lavenderkeel/gate/run_controller.h
@@ -15,34 +15,37 @@
 
 namespace lavenderkeel {
 
-/// How a run's connection to the backend server ended before the answer did.
+/// How a run's connection to the backend server ended before the answer was
+/// complete.
 enum class ServerEnd {
-  /// No connection came about, so nothing ran.
+  /// No connection was established, so nothing ran.
   kUnreachable,
-  /// The connection broke; the run may go on.
+  /// The connection broke; the run may continue at the server.
   kBroken,
-  /// The server does not know the stream (any more) or refused the request.
+  /// The server doesn't know the stream (any more) or refused the request.
   kRefused,
 };
 
-/// The runs at one backend server: starts, reads, resumes and ends them, and
-/// gives up the cheapest for a higher tier.
+/// The runs at one backend server.
+///
+/// Starts, reads, resumes and ends runs, and preempts the cheapest one for a
+/// higher tier.
 class RunController {
  public:
   struct Options {
     InFlightLimit::Options in_flight;
     ServerReachability::Options reachability;
-    /// Without an event for so long an engine's stream is read anew.
+    /// An engine's stream without an event for this long is resumed.
     Duration stream_silence = std::chrono::seconds(5);
     uint32_t max_resumes = 20;
     /// An engine that refuses this many connections in a row after it broke a
-    /// stream has ended, and its streams with it.
-    uint32_t ended_after = 2;
+    /// stream is taken for ended, and its streams with it.
+    uint32_t refusals_until_ended = 2;
     size_t max_answer_bytes = size_t{8} << 20;
   };
 
-  /// @param on_slot_free called whenever a run ended
-  /// @param on_unreachable the server accepts no connections any more
+  /// @param on_slot_free called whenever a run ends
+  /// @param on_unreachable called when the server stops accepting connections
   RunController(Options options,
                 const Clock& clock,
                 const InstanceInfo& self,
@@ -56,13 +59,13 @@
 
   void Start(const RequestKey& key, Run& run);
   void Cancel(Run& run);
-  /// Ends a run, started or not; its readers are told.
+  /// Ends a run, started or not, and sends the end to its readers.
   void Finish(const RequestKey& key, ResultCode code);
-  /// Gives up the cheapest repeatable run of a lower tier, if there is one.
+  /// Cancels the cheapest repeatable run of a lower tier, if there is one.
   void PreemptFor(const Reservation& reservation);
   void Tick(TimePoint now);
 
-  // From the backend server.
+  // Events from the backend server.
   void OnServerText(RunId run, uint64_t index, std::string_view text);
   void OnServerFinish(RunId run, std::string_view finish_json);
   void OnServiceReply(RunId run,
@@ -70,29 +73,29 @@
                       std::string_view content_type,
                       std::string_view body);
   void OnServerEnd(RunId run, ServerEnd end);
-  /// The server confirmed that a cancelled run is over, or can't be asked.
+  /// The server confirmed that a cancelled run has ended, or can't be reached.
   void OnServerCancelled(RunId run);
 
-  /// Runs that the server may have now.
+  /// The number of runs that the server may have now.
   uint32_t limit() const {
-    return reachability_.Allowed(limit_.limit(), clock_.Now());
+    return reachability_.AllowedInFlight(limit_.limit(), clock_.Now());
   }
-  /// The server accepted no connection when it was tried last.
-  bool unreachable() const { return reachability_.refuses(); }
+  /// Whether the server refused the last connection attempt.
+  bool unreachable() const { return reachability_.IsRefusing(); }
   const std::set<RunId>& running() const { return running_; }
   bool cancelling() const { return !cancelling_.empty(); }
-  /// Slots in use, also by runs that are being cancelled.
-  size_t occupied() const { return running_.size() + cancelling_.size(); }
+  /// Slots in use, including those of runs that are being cancelled.
+  size_t occupied_slots() const { return running_.size() + cancelling_.size(); }
   void FillLoad(Heartbeat& heartbeat) const;
 
  private:
   void Resume(RunId id, Run& run);
-  /// Whether an engine that ended a stream so has ended itself. For a plain
-  /// service it can't be told: nothing is read again there.
-  bool HasEnded(const Run& run, ServerEnd end) const;
-  void ResumeSilent(TimePoint now);
-  void NoteReachability(ServerEnd end);
-  const Run* CheapestVictim(uint32_t tier) const;
+  /// Whether the engine has ended, judging by how it ended a stream. Always
+  /// false for a plain service, whose answers can't be resumed.
+  bool HasEngineEnded(const Run& run, ServerEnd end) const;
+  void ResumeStalledStreams(TimePoint now);
+  void UpdateReachability(ServerEnd end);
+  const Run* FindCheapestVictim(uint32_t tier) const;
 
   Options options_;
   const Clock& clock_;
--- a/lavenderkeel/gate/run_table.cc
+++ b/lavenderkeel/gate/run_table.cc
@@ -33,7 +33,7 @@
   const auto [position, inserted] = runs_.try_emplace(key);
   if (inserted) {
     by_age_.emplace_back(now, key);
-    if (by_age_.size() > options_.remembered_keys) {
+    if (by_age_.size() > options_.max_remembered_keys) {
       ForgetOldest();
     }
   }
@@ -56,21 +56,22 @@
   }
 }
 
-void RunTable::Keep(const RequestKey& key) {
+void RunTable::RetainAnswer(const RequestKey& key) {
   const Run& run = runs_.at(key);
-  kept_.push_back(key);
-  kept_bytes_ += run.answer.size();
-  DropOverBound();
+  retained_.push_back(key);
+  retained_bytes_ += run.answer.size();
+  DropExcessAnswers();
 }
 
-void RunTable::DropOverBound() {
-  for (size_t left = kept_.size();
-       left > 1 && kept_bytes_ > options_.kept_answer_bytes; --left) {
-    const RequestKey key = kept_.front();
-    kept_.pop_front();
-    // A slow caller still reads it: dropped now, its answer would be cut.
+void RunTable::DropExcessAnswers() {
+  for (size_t remaining = retained_.size();
+       remaining > 1 && retained_bytes_ > options_.kept_answer_bytes;
+       --remaining) {
+    const RequestKey key = retained_.front();
+    retained_.pop_front();
+    // A slow caller still reads the answer, which would be cut off.
     if (in_use_ && in_use_(key)) {
-      kept_.push_back(key);
+      retained_.push_back(key);
     } else if (Run* oldest = Find(key)) {
       DropAnswer(*oldest);
     }
@@ -81,7 +82,7 @@
   if (run.state != Run::State::kFinished) {
     return;
   }
-  kept_bytes_ -= run.answer.size();
+  retained_bytes_ -= run.answer.size();
   run.answer = std::string();
   run.go = Go();
   run.state = Run::State::kGone;
@@ -94,7 +95,7 @@
         oldest != nullptr && (oldest->state == Run::State::kReady ||
                               oldest->state == Run::State::kRunning);
     if (active) {
-      // Long answers outlive the retention; look again a retention later.
+      // A long answer may outlast the retention; check again after another one.
       by_age_.emplace_back(now, by_age_.front().second);
       by_age_.pop_front();
       continue;
@@ -116,9 +117,10 @@
     by_age_.emplace_back(TimePoint(), key);
     return;
   }
-  // Failure: the key's record is dropped, then its entry dies and another asks
-  // whether it was here. Symptom: "not here", and a second run elsewhere. Keys
-  // carry when they were first sent, so all up to this one are doubtful.
+  // After this key's record is dropped, its entry may fail and another entry
+  // ask for the key; a NotHere reply would lead to a second run elsewhere. Keys
+  // contain the time when they were first sent, so all keys up to that time are
+  // treated as possibly forgotten.
   forgotten_until_ = std::max(forgotten_until_, key.first_sent());
   DropAnswer(*run);
   Erase(key);
--- a/lavenderkeel/gate/run_table.h
+++ b/lavenderkeel/gate/run_table.h
@@ -16,23 +16,23 @@
 
 namespace lavenderkeel {
 
-/// What an agent knows of one request key.
+/// The agent's record of one request key.
 struct Run {
   enum class State {
-    /// Not here; later starts are refused to all but `allowed`.
+    /// Not started here; only `allowed` may start it.
     kSealed,
-    /// Accepted, waits for a slot at the server.
+    /// Accepted, waiting for a slot at the server.
     kReady,
     kRunning,
     kFinished,
-    /// Ran here, the answer is no longer kept.
+    /// Ran here; the answer is no longer kept.
     kGone,
   };
 
   State state = State::kSealed;
-  /// The entry incarnation that may start it.
+  /// The entry incarnation that may start the run.
   PeerId allowed;
-  /// Of the seal that made it so; zero without one.
+  /// The ballot of the seal that set `allowed`; zero without a seal.
   uint64_t ballot = 0;
   Reservation reservation;
   Go go;
@@ -45,8 +45,8 @@
   std::optional<TimePoint> first_token;
   TimePoint last_event;
   uint32_t resumes = 0;
-  /// Resumes in a row for which the server accepted no connection.
-  uint32_t unreachable = 0;
+  /// Consecutive resumes for which the server accepted no connection.
+  uint32_t unreachable_resumes = 0;
 
   bool started_here() const {
     return state == State::kReady || state == State::kRunning ||
@@ -54,17 +54,17 @@
   }
 };
 
-/// The runs of an agent by key, bounded in time and bytes.
+/// The runs of an agent by request key, bounded in time and bytes.
 class RunTable {
  public:
   struct Options {
-    /// How long a key is remembered; at least the claims' retention.
+    /// How long a key is remembered; at least the retention of claims.
     Duration retention = std::chrono::minutes(11);
     size_t kept_answer_bytes = size_t{16} << 20;
-    size_t remembered_keys = 200'000;
+    size_t max_remembered_keys = 200'000;
   };
 
-  /// True while somebody still reads the answer of the key.
+  /// Whether a reader is still subscribed to the answer of the key.
   using InUse = std::function<bool(const RequestKey&)>;
 
   explicit RunTable(Options options) : options_(options) {}
@@ -80,19 +80,20 @@
   void BindRun(const RequestKey& key, RunId run);
   void UnbindRun(RunId run);
   void Erase(const RequestKey& key);
-  /// Counts the answer of a finished run and drops the oldest over the bound.
-  void Keep(const RequestKey& key);
+  /// Counts the answer of a finished run towards the byte limit and drops the
+  /// oldest answers above it.
+  void RetainAnswer(const RequestKey& key);
   void Tick(TimePoint now);
 
-  /// True if the key may have been here and was forgotten: then nobody may
-  /// hear "not here" for it.
+  /// Whether the key may have run here and been forgotten, in which case
+  /// NotHere must not be sent for it.
   bool MayHaveForgotten(const RequestKey& key) const {
     return key.first_sent() <= forgotten_until_;
   }
   size_t size() const { return runs_.size(); }
 
  private:
-  void DropOverBound();
+  void DropExcessAnswers();
   void DropAnswer(Run& run);
   void ForgetOldest();
 
@@ -101,8 +102,8 @@
   std::unordered_map<RequestKey, Run, RequestKeyHash> runs_;
   std::unordered_map<RunId, RequestKey> by_run_;
   std::deque<std::pair<TimePoint, RequestKey>> by_age_;
-  std::deque<RequestKey> kept_;
-  size_t kept_bytes_ = 0;
+  std::deque<RequestKey> retained_;
+  size_t retained_bytes_ = 0;
   WallTime forgotten_until_;
 };
 
--- a/test/gate/find_sent.h
+++ b/test/gate/find_sent.h
@@ -8,7 +8,7 @@
 
 namespace lavenderkeel {
 
-/// The first message of that type that goes out on a link; null without one.
+/// The first message of type T that is sent on the link; null if there is none.
 template <typename T>
 const T* FindSent(const std::vector<Action>& actions, LinkId link) {
   for (const Action& action : actions) {
--- a/test/gate/seal_test.cc
+++ b/test/gate/seal_test.cc
@@ -13,9 +13,9 @@
 
 }  // namespace
 
-// The first entry holds a slot offer and falls silent. The second, believing it
-// dead, asks for the key, hears "not here" and will run it elsewhere. The first
-// wakes and sends the go: it is refused, or the key would run twice.
+// Guards against a key that runs twice: the first entry holds a slot offer and
+// stalls, the second takes it for dead, gets NotHere from a sealing Attach and
+// will run the key elsewhere. A late Go from the first entry must be refused.
 BOOST_AUTO_TEST_CASE(GoAfterSealIsRefused) {
   const fuzz::VirtualClock clock;
   const EventLog log;
--- a/test/gate/short_stream_test.cc
+++ b/test/gate/short_stream_test.cc
@@ -57,10 +57,10 @@
 
 }  // namespace
 
-// An engine falls silent for a while and then sends its finish, without the
-// last two pieces. The caller must not get the part as a whole answer: the
-// stream is read on from the piece that is missing.
-BOOST_AUTO_TEST_CASE(StreamThatLacksPiecesIsReadOn) {
+// Guards against a partial answer that is delivered as complete: an engine
+// stalls and then sends its finish without the last two texts. The stream must
+// be resumed at the first missing text.
+BOOST_AUTO_TEST_CASE(StreamWithMissingTextsIsResumed) {
   Harness h;
   h.server().OnServerText(h.run, 0, "a");
   h.server().OnServerFinish(h.run, kFinishOfThree);
@@ -75,9 +75,10 @@
   BOOST_TEST(*code == static_cast<uint32_t>(ResultCode::kAnswered));
 }
 
-// The engine never brings the missing pieces. After as many tries as a broken
-// stream gets, the request ends as failed, never as whole.
-BOOST_AUTO_TEST_CASE(StreamThatStaysShortEndsAsFailed) {
+// Guards against a partial answer that is delivered as complete when the engine
+// never sends the missing texts: the request must fail once the resumes are
+// used up.
+BOOST_AUTO_TEST_CASE(StreamThatStaysIncompleteFails) {
   Harness h;
   h.server().OnServerText(h.run, 0, "a");
   std::optional<uint32_t> code;
