--- a/lavenderkeel/rollout.h
+++ b/lavenderkeel/rollout.h
@@ -1,9 +1,9 @@
 #ifndef LAVENDERKEEL_ROLLOUT_H_
 #define LAVENDERKEEL_ROLLOUT_H_
 
-/// Moving a service's traffic to servers of a new version: the operators'
-/// orders, how many requests a version gets that nobody knows yet, whether it
-/// does worse than the old one, and how the move ends.
+/// Module rollout: moves a service's traffic to servers of a new version.
+/// Covers the operators' orders, the limit on requests sent to an unproven
+/// version, its comparison with the baseline, and completion or rollback.
 #include "lavenderkeel/rollout/answer_counts.h"
 #include "lavenderkeel/rollout/rollout_controller.h"
 #include "lavenderkeel/rollout/rollout_guide.h"
--- a/lavenderkeel/rollout/answer_counts.h
+++ b/lavenderkeel/rollout/answer_counts.h
@@ -9,49 +9,49 @@
 
 namespace lavenderkeel {
 
-/// How first attempts at a version ended. Counts only grow.
+/// Outcomes of first attempts at a version. Counts only grow.
 struct AnswerCounts {
-  /// Whether a run ended well was seen this often.
+  /// Runs whose outcome was observed.
   uint32_t answered = 0;
-  /// Of these: answers that say the server failed.
+  /// Of `answered`: answers that report a server failure.
   uint32_t failed = 0;
-  /// Of these: connections that ended before the answer was whole.
+  /// Of `answered`: connections that ended before the answer was complete.
   uint32_t broken = 0;
-  /// How long something took was seen this often.
+  /// Latencies that were measured.
   uint32_t timed = 0;
-  /// Of these: much longer than at the old version.
+  /// Of `timed`: much longer than at the baseline.
   uint32_t slow = 0;
 
   friend bool operator==(const AnswerCounts&, const AnswerCounts&) = default;
 
-  /// What came since then; nothing where the counts began anew.
+  /// The increase since `former`; zero for a count that was reset.
   AnswerCounts Since(const AnswerCounts& former) const {
-    const auto more = [](uint32_t now, uint32_t then) {
-      return now > then ? now - then : 0;
+    const auto increase = [](uint32_t now, uint32_t before) {
+      return now > before ? now - before : 0;
     };
-    return {.answered = more(answered, former.answered),
-            .failed = more(failed, former.failed),
-            .broken = more(broken, former.broken),
-            .timed = more(timed, former.timed),
-            .slow = more(slow, former.slow)};
+    return {.answered = increase(answered, former.answered),
+            .failed = increase(failed, former.failed),
+            .broken = increase(broken, former.broken),
+            .timed = increase(timed, former.timed),
+            .slow = increase(slow, former.slow)};
   }
 };
 
-/// What one entry has seen of a rollout since it heard of its order.
+/// One entry's observations of a rollout since it received the order.
 struct RolloutCounts {
-  /// A route and a server, by their hashes.
+  /// Hashes of a route and of a server.
   using RouteAndServer = std::pair<uint64_t, uint64_t>;
 
   uint64_t order = 0;
-  /// Requests sent to servers of the service, and to those of the new version.
+  /// Requests sent to the service, and those of them sent to the new version.
   uint32_t sent = 0;
   uint32_t sent_to_canary = 0;
-  /// The phase that the entry acts on.
+  /// The phase that the entry applies.
   RolloutPhase follows = RolloutPhase::kCanary;
-  /// Its requests that run at the old version now.
+  /// The entry's requests that are running at the baseline.
   uint32_t running_at_baseline = 0;
   std::map<RouteAndServer, AnswerCounts> canary;
-  /// By the hash of the route.
+  /// By hash of the route.
   std::map<uint64_t, AnswerCounts> baseline;
 
   friend bool operator==(const RolloutCounts&, const RolloutCounts&) = default;
--- a/lavenderkeel/rollout/rollout_controller.cc
+++ b/lavenderkeel/rollout/rollout_controller.cc
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// Calendars of machines differ, and may jump: a start that lies further back
-/// than this beyond the order's time is not believed.
-constexpr Duration kLongestOverdue = std::chrono::minutes(1);
+/// Wall clocks of machines differ and may jump: a recorded start further back
+/// than the order's duration plus this is ignored.
+constexpr Duration kMaxOverdue = std::chrono::minutes(1);
 
-RolloutPhase PhaseOf(RolloutRecord::State state) {
+RolloutPhase PhaseFromState(RolloutRecord::State state) {
   switch (state) {
     case RolloutRecord::State::kServing:
       return RolloutPhase::kCanary;
@@ -58,7 +58,7 @@
 void RolloutController::OnOrder(const RolloutOrder& order) {
   const auto found = rollouts_.find(order.name);
   if (found == rollouts_.end()) {
-    Begin(order);
+    AddRollout(order);
     return;
   }
   Rollout& rollout = found->second;
@@ -67,13 +67,13 @@
   }
   if (KeyOf(order) != KeyOf(rollout.order)) {
     rollouts_.erase(found);
-    Begin(order);
+    AddRollout(order);
     return;
   }
-  Take(rollout, order);
+  UpdateOrder(rollout, order);
 }
 
-void RolloutController::Begin(const RolloutOrder& order) {
+void RolloutController::AddRollout(const RolloutOrder& order) {
   const TimePoint now = clock_.Now();
   const WallTime wall = clock_.WallNow();
   Rollout rollout = {
@@ -81,13 +81,13 @@
       .started = wall,
       .progress = RolloutProgress(options_.progress, now, order.duration)};
   if (order.answered()) {
-    const Duration gone = wall - order.record->started;
-    const bool believed =
-        gone > Duration::zero() && gone < order.duration + kLongestOverdue;
-    if (believed) {
+    const Duration elapsed = wall - order.record->started;
+    const bool plausible =
+        elapsed > Duration::zero() && elapsed < order.duration + kMaxOverdue;
+    if (plausible) {
       rollout.started = order.record->started;
       rollout.progress =
-          RolloutProgress(options_.progress, now - gone, order.duration);
+          RolloutProgress(options_.progress, now - elapsed, order.duration);
     }
     rollout.from = order.record->from;
   }
@@ -96,15 +96,17 @@
                                 {"revision", order.revision},
                                 {"duration_ms", ToMilliseconds(order.duration)},
                                 {"answered", order.answered()}});
-  Take(rollouts_.emplace(order.name, std::move(rollout)).first->second, order);
+  UpdateOrder(rollouts_.emplace(order.name, std::move(rollout)).first->second,
+              order);
 }
 
-void RolloutController::Take(Rollout& rollout, const RolloutOrder& order) {
+void RolloutController::UpdateOrder(Rollout& rollout,
+                                    const RolloutOrder& order) {
   rollout.order = order;
   if (!order.answered()) {
     return;
   }
-  const RolloutPhase phase = PhaseOf(order.record->state);
+  const RolloutPhase phase = PhaseFromState(order.record->state);
   if (IsTerminal(phase) && rollout.progress.phase() != phase) {
     rollout.progress.SetEnded(phase);
     log_.Info("rollout_ended", {{"service", order.service},
@@ -132,16 +134,16 @@
   }
 }
 
-void RolloutController::Tick(const Situation& situation) {
-  if (!situation.servers_listed) {
+void RolloutController::Tick(const ClusterState& cluster) {
+  if (!cluster.servers_listed) {
     return;
   }
   for (auto& [name, rollout] : rollouts_) {
-    Step(rollout, situation);
+    Step(rollout, cluster);
   }
 }
 
-void RolloutController::Step(Rollout& rollout, const Situation& situation) {
+void RolloutController::Step(Rollout& rollout, const ClusterState& cluster) {
   const RolloutOrder& order = rollout.order;
   if (rollout.from.empty()) {
     rollout.from = versions_.Baseline(order.service, order.to);
@@ -151,16 +153,16 @@
   }
   RolloutProgress& progress = rollout.progress;
   if (!IsTerminal(progress.phase()) && rollout.from == order.to) {
-    // Only servers of that version are there.
+    // The service has only servers of the new version.
     progress.SetEnded(RolloutPhase::kCompleted);
   }
   const RolloutPhase former = progress.phase();
   const bool changed = progress.Step(
       {.now = clock_.Now(),
-       .heard = situation.heard,
-       .majority = situation.majority,
-       .store_lost = situation.store_lost,
-       .canary_servers = versions_.Servers(order.service, order.to)});
+       .reachable_entries = cluster.heard,
+       .majority = cluster.majority,
+       .store_lost = cluster.store_lost,
+       .canary_servers = versions_.CountServers(order.service, order.to)});
   if (changed) {
     const VersionComparison& comparison = progress.comparison();
     log_.Info("rollout_phase", {{"service", order.service},
@@ -174,16 +176,17 @@
                                 {"answers", comparison.answers()},
                                 {"sent", progress.sent()},
                                 {"sent_to_canary", progress.sent_to_canary()},
-                                {"decides", situation.decides}});
+                                {"decides", cluster.decides}});
   }
-  const bool owed =
-      !order.answered() || order.record->state != StateOf(progress.phase());
-  if (situation.decides && owed) {
+  const bool must_write =
+      !order.answered() ||
+      order.record->state != StateFromPhase(progress.phase());
+  if (cluster.decides && must_write) {
     WriteRecord(rollout);
   }
 }
 
-RolloutRecord::State RolloutController::StateOf(RolloutPhase phase) {
+RolloutRecord::State RolloutController::StateFromPhase(RolloutPhase phase) {
   switch (phase) {
     case RolloutPhase::kCompleted:
       return RolloutRecord::State::kCompleted;
@@ -196,17 +199,19 @@
 
 void RolloutController::WriteRecord(Rollout& rollout) {
   const TimePoint now = clock_.Now();
-  if (rollout.writing && now - rollout.wrote_at < options_.write_again) {
+  if (rollout.writing &&
+      now - rollout.written_at < options_.retry_write_after) {
     return;
   }
   rollout.writing = true;
-  rollout.wrote_at = now;
-  const RolloutRecord record = {.state = StateOf(rollout.progress.phase()),
-                                .to = rollout.order.to,
-                                .from = rollout.from,
-                                .duration = rollout.order.duration,
-                                .created = rollout.order.created,
-                                .started = rollout.started};
+  rollout.written_at = now;
+  const RolloutRecord record = {
+      .state = StateFromPhase(rollout.progress.phase()),
+      .to = rollout.order.to,
+      .from = rollout.from,
+      .duration = rollout.order.duration,
+      .created = rollout.order.created,
+      .started = rollout.started};
   write_(rollout.order, record,
          [this, name = rollout.order.name, key = KeyOf(rollout.order),
           record](const RecordWrite& write) {
@@ -219,7 +224,7 @@
            log_.Info("rollout_recorded",
                      {{"service", written.order.service},
                       {"to", record.to},
-                      {"state", RolloutPhaseName(PhaseOf(record.state))},
+                      {"state", RolloutPhaseName(PhaseFromState(record.state))},
                       {"done", done},
                       {"revision", write.revision}});
            if (done) {
@@ -234,15 +239,16 @@
   std::vector<RolloutPlan> plans;
   for (const auto& [name, rollout] : rollouts_) {
     const RolloutPhase phase = rollout.progress.phase();
-    // The old servers stop with the record, so it is in force before.
+    // The platform stops the old servers once the record says so, so the record
+    // must be written before entries treat the rollout as completed.
     const bool recorded = rollout.order.answered() &&
-                          rollout.order.record->state == StateOf(phase);
-    const bool waits = phase == RolloutPhase::kCompleted && !recorded;
+                          rollout.order.record->state == StateFromPhase(phase);
+    const bool awaits_record = phase == RolloutPhase::kCompleted && !recorded;
     plans.push_back({.order = KeyOf(rollout.order),
                      .service = rollout.order.service,
                      .to = rollout.order.to,
                      .from = rollout.from,
-                     .phase = waits ? RolloutPhase::kShift : phase,
+                     .phase = awaits_record ? RolloutPhase::kShift : phase,
                      .share = rollout.progress.share()});
   }
   return plans;
--- a/lavenderkeel/rollout/rollout_controller.h
+++ b/lavenderkeel/rollout/rollout_controller.h
@@ -17,18 +17,18 @@
 
 namespace lavenderkeel {
 
-/// How the writing of a record ended.
+/// The result of writing a rollout record.
 struct RecordWrite {
   enum class Outcome {
     kDone,
-    /// Somebody changed the object first.
+    /// The object was changed by another writer first.
     kConflict,
-    /// Not done, or not known.
+    /// Not written, or unknown whether it was.
     kFailed,
   };
 
   Outcome outcome = Outcome::kFailed;
-  /// Of the object, if it was written.
+  /// Revision of the object after a successful write.
   uint64_t revision = 0;
 
   friend bool operator==(const RecordWrite&, const RecordWrite&) = default;
@@ -36,16 +36,17 @@
 
 /// Carries out the operators' orders to move services to new versions.
 ///
-/// Every entry that reads the orders steps them by what all entries report; one
-/// of them decides, and writes the records. A record is written against the
-/// revision that was read, so a second one that takes itself for the one that
-/// decides, or a write that the store does late, changes nothing.
+/// Every entry that reads the orders advances the rollouts by the reports of
+/// all entries; one entry decides and writes the records. Writes are
+/// conditional on the revision that was read, so neither a second entry that
+/// takes itself for the deciding one nor a write that the store applies late
+/// has any effect.
 class RolloutController {
  public:
   struct Options {
     RolloutProgress::Options progress;
-    /// A record whose writing brought no answer is written again.
-    Duration write_again = std::chrono::milliseconds(400);
+    /// A write without a reply is repeated after this time.
+    Duration retry_write_after = std::chrono::milliseconds(400);
   };
 
   using Write =
@@ -53,8 +54,8 @@
                          const RolloutRecord& record,
                          std::function<void(const RecordWrite&)> done)>;
 
-  struct Situation {
-    /// This entry writes the records and starts the phases.
+  struct ClusterState {
+    /// Whether this entry writes the records and starts the phases.
     bool decides = false;
     size_t heard = 1;
     bool majority = true;
@@ -72,11 +73,11 @@
   void OnOrder(const RolloutOrder& order);
   void OnRemoved(const std::string& name);
   void OnCounts(const std::string& entry, const RolloutCounts& counts);
-  void Tick(const Situation& situation);
+  void Tick(const ClusterState& cluster);
 
-  /// Whether the orders were read once.
+  /// Whether the orders have been read at least once.
   bool known() const { return listed_; }
-  /// Of the orders whose service has servers that are known.
+  /// The plans of all orders.
   std::vector<RolloutPlan> Plans() const;
 
  private:
@@ -86,14 +87,14 @@
     WallTime started;
     RolloutProgress progress;
     bool writing = false;
-    TimePoint wrote_at;
+    TimePoint written_at;
   };
 
-  void Begin(const RolloutOrder& order);
-  void Take(Rollout& rollout, const RolloutOrder& order);
-  void Step(Rollout& rollout, const Situation& situation);
+  void AddRollout(const RolloutOrder& order);
+  void UpdateOrder(Rollout& rollout, const RolloutOrder& order);
+  void Step(Rollout& rollout, const ClusterState& cluster);
   void WriteRecord(Rollout& rollout);
-  static RolloutRecord::State StateOf(RolloutPhase phase);
+  static RolloutRecord::State StateFromPhase(RolloutPhase phase);
 
   Options options_;
   ServiceVersions& versions_;
@@ -101,7 +102,7 @@
   const EventLog& log_;
   Write write_;
   bool listed_ = false;
-  /// By the name of the order's object.
+  /// By name of the order's object.
   std::map<std::string, Rollout> rollouts_;
 };
 
--- a/lavenderkeel/rollout/rollout_guide.cc
+++ b/lavenderkeel/rollout/rollout_guide.cc
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// A route may be this many requests behind in what its canary has earned.
-constexpr double kMostCredit = 1.5;
+/// The most canary credit that a route accumulates, in requests.
+constexpr double kMaxCredit = 1.5;
 
-/// What no server says of itself.
+/// A version that no server reports.
 constexpr char kNoVersion[] = "(none)";
 
-/// Routes that share what the canary may get at once at the start.
+/// The number of routes that share the canary's initial allowance.
 constexpr double kTypicalRoutes = 3;
 
 }  // namespace
@@ -28,29 +28,31 @@
 
 void RolloutGuide::OnPlans(const std::vector<RolloutPlan>& plans) {
   known_ = true;
-  std::erase_if(followed_, [&plans](const auto& item) {
+  std::erase_if(rollouts_, [&plans](const auto& item) {
     return std::ranges::find(plans, item.first, &RolloutPlan::service) ==
            plans.end();
   });
   for (const RolloutPlan& plan : plans) {
-    Followed& followed = followed_[plan.service];
-    if (followed.plan.order != plan.order) {
-      followed = {.plan = plan};
-      followed.counts.order = plan.order;
-    } else if (followed.plan.phase == RolloutPhase::kRolledBack) {
-      // One of the entries that decide in turn may not have seen as much.
+    RolloutState& rollout = rollouts_[plan.service];
+    if (rollout.plan.order != plan.order) {
+      rollout = {.plan = plan};
+      rollout.counts.order = plan.order;
+    } else if (rollout.plan.phase == RolloutPhase::kRolledBack) {
+      // After a change of the deciding entry the new one may have seen fewer
+      // failures.
       continue;
     }
-    if (followed.plan.phase != plan.phase || followed.heard == TimePoint()) {
+    if (rollout.plan.phase != plan.phase ||
+        rollout.plan_received == TimePoint()) {
       log_.Info("rollout_followed", {{"service", plan.service},
                                      {"to", plan.to},
                                      {"from", plan.from},
                                      {"phase", RolloutPhaseName(plan.phase)},
                                      {"share", plan.share}});
     }
-    followed.plan = plan;
-    followed.heard = clock_.Now();
-    followed.counts.follows = plan.phase;
+    rollout.plan = plan;
+    rollout.plan_received = clock_.Now();
+    rollout.counts.follows = plan.phase;
     const bool completed = plan.phase == RolloutPhase::kCompleted;
     if (completed || !plan.from.empty()) {
       versions_.SetBaseline(plan.service, completed ? plan.to : plan.from);
@@ -58,13 +60,13 @@
   }
 }
 
-RolloutGuide::Followed* RolloutGuide::Find(const std::string& service) {
-  const auto found = followed_.find(service);
-  return found == followed_.end() ? nullptr : &found->second;
+RolloutGuide::RolloutState* RolloutGuide::Find(const std::string& service) {
+  const auto found = rollouts_.find(service);
+  return found == rollouts_.end() ? nullptr : &found->second;
 }
 
-bool RolloutGuide::Leased(const Followed& followed) const {
-  return clock_.Now() - followed.heard <= options_.plan_lease;
+bool RolloutGuide::HasPlanLease(const RolloutState& rollout) const {
+  return clock_.Now() - rollout.plan_received <= options_.plan_lease;
 }
 
 RolloutGuide::Choice RolloutGuide::Choose(const std::string& service,
@@ -73,49 +75,54 @@
   if (!options_.bounds.enabled) {
     return {};
   }
-  Followed* followed = Find(service);
-  if (followed == nullptr) {
+  RolloutState* rollout = Find(service);
+  if (rollout == nullptr) {
     return {.version = versions_.Baseline(service)};
   }
-  const RolloutPlan& plan = followed->plan;
+  const RolloutPlan& plan = rollout->plan;
   if (plan.phase == RolloutPhase::kCompleted) {
     return {.version = plan.to};
   }
-  if (plan.phase == RolloutPhase::kRolledBack || !Leased(*followed)) {
-    return {.version = OldVersion(plan)};
+  if (plan.phase == RolloutPhase::kRolledBack || !HasPlanLease(*rollout)) {
+    return {.version = BaselineVersion(plan)};
   }
   if (plan.phase == RolloutPhase::kShift) {
     return {.version = plan.to};
   }
-  const bool canary = fresh && TakeCanary(*followed, route);
-  return {.version = OldVersion(plan), .canary = canary ? plan.to : ""};
+  const bool canary = fresh && TakeCanaryCredit(*rollout, route);
+  return {.version = BaselineVersion(plan), .canary = canary ? plan.to : ""};
 }
 
-std::string RolloutGuide::OldVersion(const RolloutPlan& plan) {
+std::string RolloutGuide::BaselineVersion(const RolloutPlan& plan) {
   if (!plan.from.empty()) {
     return plan.from;
   }
-  // The entry that decides has no servers of the service yet.
-  const std::string& known = versions_.Baseline(plan.service, plan.to);
-  return known.empty() || known == plan.to ? kNoVersion : known;
+  // The deciding entry doesn't know the service's servers yet.
+  const std::string& baseline = versions_.Baseline(plan.service, plan.to);
+  return baseline.empty() || baseline == plan.to ? kNoVersion : baseline;
 }
 
-bool RolloutGuide::TakeCanary(Followed& followed, const std::string& route) {
-  const bool ramp = followed.plan.phase == RolloutPhase::kRamp;
-  const double part = ramp ? options_.ramp_part : options_.canary_part;
+bool RolloutGuide::TakeCanaryCredit(RolloutState& rollout,
+                                    const std::string& route) {
+  const bool ramp = rollout.plan.phase == RolloutPhase::kRamp;
+  const double fraction =
+      ramp ? options_.ramp_fraction : options_.canary_fraction;
   const double slack = options_.bounds.slack /
                        static_cast<double>(std::max<size_t>(1, entries_));
-  // Each route has its own turn, so that a rare one is looked at too.
-  const double first = options_.canary_part * slack / kTypicalRoutes;
-  double& credit = followed.credit.try_emplace(route, first).first->second;
-  credit = std::min(kMostCredit, credit + followed.plan.share);
-  const double most =
-      part * (options_.bounds.share * followed.counts.sent + slack);
-  if (followed.plan.share <= 0 || credit < 1 || followed.chosen + 1 > most) {
+  // Credit is kept per route, so that rarely used routes are sampled too.
+  const double initial_credit =
+      options_.canary_fraction * slack / kTypicalRoutes;
+  double& credit =
+      rollout.credit.try_emplace(route, initial_credit).first->second;
+  credit = std::min(kMaxCredit, credit + rollout.plan.share);
+  const double max_canary_requests =
+      fraction * (options_.bounds.share * rollout.counts.sent + slack);
+  if (rollout.plan.share <= 0 || credit < 1 ||
+      rollout.canary_choices + 1 > max_canary_requests) {
     return false;
   }
   credit -= 1;
-  followed.chosen += 1;
+  rollout.canary_choices += 1;
   return true;
 }
 
@@ -124,22 +131,23 @@
   if (!options_.bounds.enabled) {
     return true;
   }
-  const Followed* followed = Find(service);
-  if (followed == nullptr) {
+  const RolloutState* rollout = Find(service);
+  if (rollout == nullptr) {
     const std::string& baseline = versions_.Baseline(service);
     return baseline.empty() || version == baseline;
   }
-  const RolloutPlan& plan = followed->plan;
+  const RolloutPlan& plan = rollout->plan;
   switch (plan.phase) {
     case RolloutPhase::kCompleted:
       return version == plan.to;
     case RolloutPhase::kRolledBack:
-      return version == OldVersion(plan);
+      return version == BaselineVersion(plan);
     case RolloutPhase::kShift:
-      return version == (Leased(*followed) ? plan.to : OldVersion(plan));
+      return version ==
+             (HasPlanLease(*rollout) ? plan.to : BaselineVersion(plan));
     default:
-      return version == OldVersion(plan) ||
-             (version == plan.to && Leased(*followed));
+      return version == BaselineVersion(plan) ||
+             (version == plan.to && HasPlanLease(*rollout));
   }
 }
 
@@ -149,60 +157,61 @@
                                            int in_flight,
                                            bool fresh) {
   Attempt attempt = {
-      .judged = fresh,
+      .sampled = fresh,
       .server = HashBytes(server.start_key()),
       .route = HashBytes(route),
       .load = std::min(1.0, static_cast<double>(in_flight) / server.slots)};
-  Followed* followed = Find(service);
-  if (followed == nullptr) {
+  RolloutState* rollout = Find(service);
+  if (rollout == nullptr) {
     attempt.arm = options_.bounds.enabled ? Arm::kBaseline : Arm::kNone;
     return attempt;
   }
-  const bool canary = server.version == followed->plan.to;
-  attempt.order = followed->plan.order;
+  const bool canary = server.version == rollout->plan.to;
+  attempt.order = rollout->plan.order;
   attempt.arm = canary ? Arm::kCanary : Arm::kBaseline;
-  ++followed->counts.sent;
-  followed->counts.sent_to_canary += canary ? 1 : 0;
-  followed->counts.running_at_baseline += canary ? 0 : 1;
+  ++rollout->counts.sent;
+  rollout->counts.sent_to_canary += canary ? 1 : 0;
+  rollout->counts.running_at_baseline += canary ? 0 : 1;
   return attempt;
 }
 
-RolloutGuide::Followed* RolloutGuide::Counted(const std::string& service,
-                                              const Attempt& attempt) {
-  Followed* followed = Find(service);
-  const bool counts = attempt.arm != Arm::kNone && followed != nullptr &&
-                      followed->plan.order == attempt.order;
-  return counts ? followed : nullptr;
+RolloutGuide::RolloutState* RolloutGuide::FindCounted(
+    const std::string& service,
+    const Attempt& attempt) {
+  RolloutState* rollout = Find(service);
+  const bool matches = attempt.arm != Arm::kNone && rollout != nullptr &&
+                       rollout->plan.order == attempt.order;
+  return matches ? rollout : nullptr;
 }
 
 void RolloutGuide::OnOver(const std::string& service, Attempt& attempt) {
-  Followed* followed = Counted(service, attempt);
-  if (followed != nullptr && attempt.arm == Arm::kBaseline) {
-    --followed->counts.running_at_baseline;
+  RolloutState* rollout = FindCounted(service, attempt);
+  if (rollout != nullptr && attempt.arm == Arm::kBaseline) {
+    --rollout->counts.running_at_baseline;
   }
   attempt.arm = Arm::kNone;
 }
 
-AnswerCounts& RolloutGuide::CountsOf(Followed& followed,
+AnswerCounts& RolloutGuide::CountsOf(RolloutState& rollout,
                                      const Attempt& attempt) {
   return attempt.arm == Arm::kCanary
-             ? followed.counts.canary[{attempt.route, attempt.server}]
-             : followed.counts.baseline[attempt.route];
+             ? rollout.counts.canary[{attempt.route, attempt.server}]
+             : rollout.counts.baseline[attempt.route];
 }
 
 void RolloutGuide::OnAnswered(const std::string& service,
                               const Attempt& attempt) {
-  Followed* followed = Counted(service, attempt);
-  if (followed != nullptr && attempt.judged) {
-    ++CountsOf(*followed, attempt).answered;
+  RolloutState* rollout = FindCounted(service, attempt);
+  if (rollout != nullptr && attempt.sampled) {
+    ++CountsOf(*rollout, attempt).answered;
   }
 }
 
 void RolloutGuide::OnFailed(const std::string& service,
                             const Attempt& attempt) {
-  Followed* followed = Counted(service, attempt);
-  if (followed != nullptr && attempt.judged) {
-    AnswerCounts& counts = CountsOf(*followed, attempt);
+  RolloutState* rollout = FindCounted(service, attempt);
+  if (rollout != nullptr && attempt.sampled) {
+    AnswerCounts& counts = CountsOf(*rollout, attempt);
     ++counts.answered;
     ++counts.failed;
   }
@@ -210,53 +219,54 @@
 
 void RolloutGuide::OnBroken(const std::string& service,
                             const Attempt& attempt) {
-  Followed* followed = Counted(service, attempt);
-  if (followed != nullptr && attempt.judged) {
-    AnswerCounts& counts = CountsOf(*followed, attempt);
+  RolloutState* rollout = FindCounted(service, attempt);
+  if (rollout != nullptr && attempt.sampled) {
+    AnswerCounts& counts = CountsOf(*rollout, attempt);
     ++counts.answered;
     ++counts.broken;
   }
 }
 
 bool RolloutGuide::IsSlow(double ms, const HighQuantile& usual) const {
-  return !usual.empty() && ms > options_.slow_per_usual * usual.value();
+  return !usual.empty() && ms > options_.slow_factor * usual.value();
 }
 
-double RolloutGuide::Unloaded(const Attempt& attempt, Duration took) const {
+double RolloutGuide::UnloadedMilliseconds(const Attempt& attempt,
+                                          Duration took) const {
   return ToFractionalMilliseconds(took) /
-         (1 + options_.full_server_time * attempt.load);
+         (1 + options_.full_server_slowdown * attempt.load);
 }
 
-void RolloutGuide::Time(const std::string& service,
-                        Attempt& attempt,
-                        Duration took,
-                        HighQuantile Usual::*usual) {
-  if (attempt.arm == Arm::kNone || !attempt.judged || attempt.slow) {
+void RolloutGuide::RecordLatency(const std::string& service,
+                                 Attempt& attempt,
+                                 Duration took,
+                                 HighQuantile UsualLatency::*usual) {
+  if (attempt.arm == Arm::kNone || !attempt.sampled || attempt.slow) {
     return;
   }
-  HighQuantile& known = usual_[{service, attempt.route}].*usual;
-  const double ms = Unloaded(attempt, took);
-  attempt.slow = IsSlow(ms, known);
-  if (Followed* followed = Counted(service, attempt)) {
-    AnswerCounts& counts = CountsOf(*followed, attempt);
+  HighQuantile& baseline = usual_latency_[{service, attempt.route}].*usual;
+  const double ms = UnloadedMilliseconds(attempt, took);
+  attempt.slow = IsSlow(ms, baseline);
+  if (RolloutState* rollout = FindCounted(service, attempt)) {
+    AnswerCounts& counts = CountsOf(*rollout, attempt);
     ++counts.timed;
     counts.slow += attempt.slow ? 1 : 0;
   }
   if (attempt.arm == Arm::kBaseline) {
-    known.Add(ms);
+    baseline.Add(ms);
   }
 }
 
 void RolloutGuide::OnFirstPart(const std::string& service,
                                Attempt& attempt,
                                Duration took) {
-  Time(service, attempt, took, &Usual::first_part_ms);
+  RecordLatency(service, attempt, took, &UsualLatency::first_chunk_ms);
 }
 
 void RolloutGuide::OnPace(const std::string& service,
                           Attempt& attempt,
                           Duration took) {
-  Time(service, attempt, took, &Usual::pace_ms);
+  RecordLatency(service, attempt, took, &UsualLatency::pace_ms);
 }
 
 void RolloutGuide::OnNothingYet(const std::string& service,
@@ -265,24 +275,25 @@
   if (attempt.arm != Arm::kCanary || attempt.slow) {
     return;
   }
-  const HighQuantile& usual = usual_[{service, attempt.route}].first_part_ms;
-  if (IsSlow(Unloaded(attempt, since), usual)) {
+  const HighQuantile& usual =
+      usual_latency_[{service, attempt.route}].first_chunk_ms;
+  if (IsSlow(UnloadedMilliseconds(attempt, since), usual)) {
     OnFirstPart(service, attempt, since);
   }
 }
 
 std::vector<RolloutCounts> RolloutGuide::Report() const {
   std::vector<RolloutCounts> report;
-  for (const auto& [service, followed] : followed_) {
-    switch (followed.plan.phase) {
+  for (const auto& [service, rollout] : rollouts_) {
+    switch (rollout.plan.phase) {
       case RolloutPhase::kCompleted:
         break;
       case RolloutPhase::kRolledBack:
-        report.push_back({.order = followed.counts.order,
+        report.push_back({.order = rollout.counts.order,
                           .follows = RolloutPhase::kRolledBack});
         break;
       default:
-        report.push_back(followed.counts);
+        report.push_back(rollout.counts);
     }
   }
   return report;
--- a/lavenderkeel/rollout/rollout_guide.h
+++ b/lavenderkeel/rollout/rollout_guide.h
@@ -17,55 +17,57 @@
 
 namespace lavenderkeel {
 
-/// Says at one entry which version a request may run at, and counts how the
-/// versions do.
+/// Selects the version that a request of this entry may run at, and counts the
+/// outcomes by version.
 ///
-/// It acts on the plans of the entry that decides. What a new version gets
-/// before the shift is bounded here by this entry's own requests, so that no
-/// other entry has to be heard for the bound to hold.
+/// It follows the plans of the deciding entry. The new version's requests
+/// before the shift are limited here in proportion to this entry's own
+/// requests, so the limit holds without messages from other entries.
 class RolloutGuide {
  public:
   struct Options {
     ExposureBounds bounds;
-    /// A plan that was not heard again for this time gives the new version
-    /// nothing any more.
+    /// A plan that was not received again for this time is treated as expired:
+    /// the new version gets no requests.
     Duration plan_lease = std::chrono::seconds(1);
-    /// Of the entry's part of what a bad version may get.
-    double canary_part = 0.4;
-    double ramp_part = 0.65;
-    /// An answer that takes so many times as long as most at the old version is
-    /// slow.
-    double slow_per_usual = 2;
-    /// What a server that is full adds to the time of an answer beside one that
-    /// is empty, as a part. The new version's few servers are fuller than most.
-    double full_server_time = 0.5;
+    /// Fractions of this entry's share of the exposure limit that the canary
+    /// and the ramp may use.
+    double canary_fraction = 0.4;
+    double ramp_fraction = 0.65;
+    /// An answer that takes longer than this many times the usual latency of
+    /// the baseline is slow.
+    double slow_factor = 2;
+    /// The fraction by which a full server's answers take longer than an empty
+    /// one's. The new version has few servers, which are fuller than most.
+    double full_server_slowdown = 0.5;
   };
 
-  /// Which servers a request may run at; empty: any, and none.
+  /// The servers that a request may run at. An empty version allows any; an
+  /// empty canary means none.
   struct Choice {
     std::string version;
-    /// Servers of this version go first, if one has room.
+    /// Servers of this version are preferred if one has a free slot.
     std::string canary;
 
     friend bool operator==(const Choice&, const Choice&) = default;
   };
 
-  /// Which version an attempt went to, as far as a rollout is concerned.
+  /// The side of a rollout's comparison that an attempt belongs to.
   enum class Arm : uint8_t { kNone, kBaseline, kCanary };
 
-  /// An attempt whose end tells of a version.
+  /// An attempt whose outcome is attributed to a version.
   struct Attempt {
     Arm arm = Arm::kNone;
     uint64_t order = 0;
-    /// Whether it counts: the first of its request, of which nothing bad is
-    /// known.
-    bool judged = false;
+    /// Whether the outcome is counted: set for the first attempt of a request
+    /// that isn't suspected of crashing servers.
+    bool sampled = false;
     uint64_t server = 0;
     /// Hash of the route.
     uint64_t route = 0;
-    /// Part of the server's slots that were taken.
+    /// Fraction of the server's slots in use.
     double load = 0;
-    /// It has been found slow.
+    /// Whether the attempt has been found slow.
     bool slow = false;
 
     friend bool operator==(const Attempt&, const Attempt&) = default;
@@ -76,18 +78,20 @@
                const Clock& clock,
                const EventLog& log);
 
-  /// The plans of the entry that decides, some times a second.
+  /// Takes the plans of the deciding entry, which arrive several times a
+  /// second.
   void OnPlans(const std::vector<RolloutPlan>& plans);
-  /// How many entries share what a bad version may get.
+  /// The number of entries that share the exposure limit.
   void set_entries(size_t entries) { entries_ = entries; }
 
   /// Whether it is known which versions may be used.
   bool known() const { return !options_.bounds.enabled || known_; }
-  /// @param fresh nothing of the request has run, and nothing speaks against it
+  /// @param fresh the request has not run yet and isn't suspected of crashing
+  ///     servers
   Choice Choose(const std::string& service,
                 const std::string& route,
                 bool fresh);
-  /// Whether a request may be sent to that version now.
+  /// Whether a request may be sent to the version now.
   bool Admits(const std::string& service, const std::string& version);
 
   Attempt OnSent(const std::string& service,
@@ -95,16 +99,16 @@
                  const BackendServer& server,
                  int in_flight,
                  bool fresh);
-  /// The attempt is over, however.
+  /// The attempt ended, with or without an answer.
   void OnOver(const std::string& service, Attempt& attempt);
   void OnAnswered(const std::string& service, const Attempt& attempt);
   void OnFailed(const std::string& service, const Attempt& attempt);
   void OnBroken(const std::string& service, const Attempt& attempt);
-  /// So long until the first part of the answer.
+  /// Records the time until the first chunk of the answer.
   void OnFirstPart(const std::string& service, Attempt& attempt, Duration took);
-  /// So long between two events of a stream, on average.
+  /// Records the mean time between two events of a stream.
   void OnPace(const std::string& service, Attempt& attempt, Duration took);
-  /// Nothing has come for so long.
+  /// No chunk of the answer has arrived for this long.
   void OnNothingYet(const std::string& service,
                     Attempt& attempt,
                     Duration since);
@@ -113,35 +117,35 @@
   ServiceVersions& versions() { return versions_; }
 
  private:
-  struct Usual {
-    HighQuantile first_part_ms;
+  struct UsualLatency {
+    HighQuantile first_chunk_ms;
     HighQuantile pace_ms;
   };
-  struct Followed {
+  struct RolloutState {
     RolloutPlan plan;
-    TimePoint heard;
+    TimePoint plan_received;
     RolloutCounts counts;
-    /// Requests that the new version was chosen for before the shift.
-    double chosen = 0;
-    /// By route: what its requests have earned of the canary.
+    /// Requests for which the new version was selected before the shift.
+    double canary_choices = 0;
+    /// Canary credit by route, in requests.
     std::map<std::string, double> credit;
   };
 
-  Followed* Find(const std::string& service);
-  Followed* Counted(const std::string& service, const Attempt& attempt);
-  bool Leased(const Followed& followed) const;
-  /// The version that requests stay at; one that no server has if there is none
-  /// but the new one.
-  std::string OldVersion(const RolloutPlan& plan);
-  bool TakeCanary(Followed& followed, const std::string& route);
+  RolloutState* Find(const std::string& service);
+  RolloutState* FindCounted(const std::string& service, const Attempt& attempt);
+  bool HasPlanLease(const RolloutState& rollout) const;
+  /// The version that requests stay at; kNoVersion if only the new version has
+  /// servers.
+  std::string BaselineVersion(const RolloutPlan& plan);
+  bool TakeCanaryCredit(RolloutState& rollout, const std::string& route);
   bool IsSlow(double ms, const HighQuantile& usual) const;
-  /// Milliseconds that it would have taken at an empty server.
-  double Unloaded(const Attempt& attempt, Duration took) const;
-  AnswerCounts& CountsOf(Followed& followed, const Attempt& attempt);
-  void Time(const std::string& service,
-            Attempt& attempt,
-            Duration took,
-            HighQuantile Usual::*usual);
+  /// The latency in milliseconds, scaled to an empty server.
+  double UnloadedMilliseconds(const Attempt& attempt, Duration took) const;
+  AnswerCounts& CountsOf(RolloutState& rollout, const Attempt& attempt);
+  void RecordLatency(const std::string& service,
+                     Attempt& attempt,
+                     Duration took,
+                     HighQuantile UsualLatency::*usual);
 
   Options options_;
   const Clock& clock_;
@@ -149,9 +153,9 @@
   ServiceVersions versions_;
   bool known_ = false;
   size_t entries_ = 1;
-  std::map<std::string, Followed> followed_;
-  /// Of the version in force, by service and hash of the route.
-  std::map<std::pair<std::string, uint64_t>, Usual> usual_;
+  std::map<std::string, RolloutState> rollouts_;
+  /// Latencies of the baseline by service and hash of the route.
+  std::map<std::pair<std::string, uint64_t>, UsualLatency> usual_latency_;
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/rollout/rollout_order.h
+++ b/lavenderkeel/rollout/rollout_order.h
@@ -9,18 +9,19 @@
 
 namespace lavenderkeel {
 
-/// How far a rollout has got, as the store keeps it.
+/// The state of a rollout as written to the store.
 struct RolloutRecord {
   enum class State : uint8_t { kServing, kCompleted, kRolledBack };
 
   State state = State::kServing;
-  /// The version that it moves the service to, and the one before.
+  /// The new version and the one that it replaces.
   std::string to;
   std::string from;
-  /// Of the order that it answers; zero if its writer did not say.
+  /// Duration and creation revision of the order that the record belongs to;
+  /// zero if its writer didn't set them.
   Duration duration{};
   uint64_t created = 0;
-  /// When the order was read first.
+  /// When the order was first read.
   WallTime started;
 
   friend bool operator==(const RolloutRecord&, const RolloutRecord&) = default;
@@ -28,18 +29,18 @@
 
 /// An operator's order to move a service's traffic to servers of a version.
 struct RolloutOrder {
-  /// Of the object in the store, with the revision of its last change and that
+  /// Name of the object in the store, and the revisions of its last change and
   /// of its creation.
   std::string name;
   uint64_t revision = 0;
   uint64_t created = 0;
   std::string service;
   std::string to;
-  /// The traffic is to be moved within this time.
+  /// The time within which the traffic must be moved.
   Duration duration{};
   std::optional<RolloutRecord> record;
 
-  /// Whether the record is of this order and not of an earlier one that had the
+  /// Whether the record belongs to this order and not to an earlier one of the
   /// same name.
   bool answered() const {
     return record.has_value() && record->to == to &&
@@ -50,8 +51,8 @@
   friend bool operator==(const RolloutOrder&, const RolloutOrder&) = default;
 };
 
-/// Equal for the same order wherever it was read, before and after its record
-/// changed.
+/// Hash that identifies an order: the same wherever it is read, and before and
+/// after its record changes.
 uint64_t KeyOf(const RolloutOrder& order);
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/rollout/rollout_plan.h
+++ b/lavenderkeel/rollout/rollout_plan.h
@@ -6,13 +6,13 @@
 
 namespace lavenderkeel {
 
-/// In the order in which a rollout goes through them.
+/// The phases of a rollout, in their order.
 enum class RolloutPhase : uint8_t {
-  /// A small part of the requests shows how the new version does.
+  /// A small fraction of the requests tests the new version.
   kCanary = 0,
-  /// A larger part shows how it does under load.
+  /// A larger fraction tests it under load.
   kRamp = 1,
-  /// All requests go to the new version; what runs at the old one ends.
+  /// All requests go to the new version; runs at the baseline are left to end.
   kShift = 2,
   kCompleted = 3,
   kRolledBack = 4,
@@ -22,26 +22,27 @@
   return phase >= RolloutPhase::kCompleted;
 }
 
-/// What entries are to do with the requests of one service.
+/// How entries route the requests of one service.
 struct RolloutPlan {
-  /// KeyOf the order that it carries out.
+  /// KeyOf() the order that the plan carries out.
   uint64_t order = 0;
   std::string service;
   std::string to;
   std::string from;
   RolloutPhase phase = RolloutPhase::kCanary;
-  /// Part of the requests that may go to the new version before the shift.
+  /// Fraction of the requests that may go to the new version before the shift.
   double share = 0;
 
   friend bool operator==(const RolloutPlan&, const RolloutPlan&) = default;
 };
 
-/// Figures of the platform that bound what callers may meet of a bad version.
+/// The platform's limits on requests that reach a bad version.
 struct ExposureBounds {
-  /// Whether there are rollouts on this platform at all.
+  /// Whether the platform uses rollouts at all.
   bool enabled = false;
-  /// Part of a service's requests that may reach a bad version, and requests
-  /// beyond that; over all entries, from the order to its time limit.
+  /// Fraction of a service's requests that may reach a bad version, and a
+  /// number of requests on top; over all entries, from the order to its time
+  /// limit.
   double share = 0.1;
   double slack = 50;
 
--- a/lavenderkeel/rollout/rollout_progress.cc
+++ b/lavenderkeel/rollout/rollout_progress.cc
@@ -16,31 +16,33 @@
 void RolloutProgress::OnCounts(const std::string& entry,
                                const RolloutCounts& counts,
                                TimePoint now) {
-  Told& told = told_[entry];
-  const auto more = [](uint32_t next, uint32_t former) {
+  EntryReport& report = reports_[entry];
+  const auto increase = [](uint32_t next, uint32_t former) {
     return next > former ? next - former : 0;
   };
-  sent_ += more(counts.sent, told.counts.sent);
-  sent_to_canary_ += more(counts.sent_to_canary, told.counts.sent_to_canary);
+  sent_ += increase(counts.sent, report.counts.sent);
+  sent_to_canary_ +=
+      increase(counts.sent_to_canary, report.counts.sent_to_canary);
   for (const auto& [route, answers] : counts.baseline) {
-    AnswerCounts& former = told.counts.baseline[route];
+    AnswerCounts& former = report.counts.baseline[route];
     comparison_.AddBaseline(route, answers.Since(former));
     former = answers;
   }
   for (const auto& [id, answers] : counts.canary) {
-    AnswerCounts& former = told.counts.canary[id];
+    AnswerCounts& former = report.counts.canary[id];
     comparison_.AddCanary(id.first, id.second, answers.Since(former));
     former = answers;
   }
-  // One that decided before has seen it do worse.
+  // The entry applied a rollback of a former deciding entry, which saw the
+  // version do worse.
   if (counts.follows == RolloutPhase::kRolledBack && !IsTerminal(phase_)) {
-    Enter(RolloutPhase::kRolledBack, "told", now);
+    EnterPhase(RolloutPhase::kRolledBack, "told", now);
   }
-  told.counts.sent = counts.sent;
-  told.counts.sent_to_canary = counts.sent_to_canary;
-  told.counts.follows = counts.follows;
-  told.counts.running_at_baseline = counts.running_at_baseline;
-  told.at = now;
+  report.counts.sent = counts.sent;
+  report.counts.sent_to_canary = counts.sent_to_canary;
+  report.counts.follows = counts.follows;
+  report.counts.running_at_baseline = counts.running_at_baseline;
+  report.received_at = now;
 }
 
 void RolloutProgress::SetEnded(RolloutPhase phase) {
@@ -49,122 +51,127 @@
 }
 
 double RolloutProgress::share() const {
-  const double most = options_.bounds.share * sent_ + options_.bounds.slack;
+  const double exposure_limit =
+      options_.bounds.share * sent_ + options_.bounds.slack;
   switch (phase_) {
     case RolloutPhase::kCanary:
-      return sent_to_canary_ < options_.canary_part * most
-                 ? options_.canary_part * options_.bounds.share
+      return sent_to_canary_ < options_.canary_fraction * exposure_limit
+                 ? options_.canary_fraction * options_.bounds.share
                  : 0;
     case RolloutPhase::kRamp:
-      return sent_to_canary_ < options_.ramp_part * most ? options_.ramp_share
-                                                         : 0;
+      return sent_to_canary_ < options_.ramp_fraction * exposure_limit
+                 ? options_.ramp_share
+                 : 0;
     default:
       return 0;
   }
 }
 
-Duration RolloutProgress::moving() const {
-  return std::clamp(FromSeconds(ToSeconds(duration_) * options_.moving_part),
-                    options_.least_moving, options_.longest_moving);
+Duration RolloutProgress::move_time() const {
+  return std::clamp(FromSeconds(ToSeconds(duration_) * options_.move_fraction),
+                    options_.min_move_time, options_.max_move_time);
 }
 
-bool RolloutProgress::Enter(RolloutPhase phase,
-                            const char* reason,
-                            TimePoint now) {
+bool RolloutProgress::EnterPhase(RolloutPhase phase,
+                                 const char* reason,
+                                 TimePoint now) {
   phase_ = phase;
   reason_ = reason;
   phase_since_ = now;
-  answers_before_ = comparison_.answers();
-  sent_before_ = sent_;
+  answers_at_phase_start_ = comparison_.answers();
+  sent_at_phase_start_ = sent_;
   return true;
 }
 
-bool RolloutProgress::Step(const Situation& situation) {
+bool RolloutProgress::Step(const StepInput& input) {
   if (IsTerminal(phase_)) {
     return false;
   }
   if (comparison_.worse()) {
-    return Enter(RolloutPhase::kRolledBack, "worse", situation.now);
+    return EnterPhase(RolloutPhase::kRolledBack, "worse", input.now);
   }
   switch (phase_) {
     case RolloutPhase::kCanary:
-      return StepCanary(situation);
+      return StepCanary(input);
     case RolloutPhase::kRamp:
-      return StepRamp(situation);
+      return StepRamp(input);
     default:
-      return StepShift(situation);
+      return StepShift(input);
   }
 }
 
-bool RolloutProgress::StepCanary(const Situation& situation) {
-  const TimePoint now = situation.now;
-  // Nothing is gained for callers by a version that nobody could look at.
+bool RolloutProgress::StepCanary(const StepInput& input) {
+  const TimePoint now = input.now;
+  // A version that could not be tested in time is rolled back.
   const bool lapsed = now >= end() + duration_;
-  if (lapsed || (now >= end() && situation.canary_servers == 0)) {
-    return Enter(RolloutPhase::kRolledBack, "not_seen", now);
+  if (lapsed || (now >= end() && input.canary_servers == 0)) {
+    return EnterPhase(RolloutPhase::kRolledBack, "not_seen", now);
   }
-  // Without the store an end could not be written, and a version that takes
-  // all requests would have to be watched for as long as that lasts.
-  const bool held = situation.store_lost || !situation.majority ||
-                    comparison_.answers() < options_.least_answers;
-  if (held || now < end() - moving()) {
+  // Without the store the final state can't be written, and a version that
+  // takes all requests would have to be watched until the store is back.
+  const bool held = input.store_lost || !input.majority ||
+                    comparison_.answers() < options_.min_answers;
+  if (held || now < end() - move_time()) {
     return false;
   }
-  return Enter(RolloutPhase::kRamp, "watched", now);
+  return EnterPhase(RolloutPhase::kRamp, "watched", now);
 }
 
-bool RolloutProgress::StepRamp(const Situation& situation) {
-  const TimePoint now = situation.now;
-  if (situation.store_lost || !situation.majority) {
-    return Enter(RolloutPhase::kCanary, "held", now);
+bool RolloutProgress::StepRamp(const StepInput& input) {
+  const TimePoint now = input.now;
+  if (input.store_lost || !input.majority) {
+    return EnterPhase(RolloutPhase::kCanary, "held", now);
   }
   if (comparison_.in_doubt()) {
     return now >= end() - options_.end_margin &&
-           Enter(RolloutPhase::kRolledBack, "in_doubt", now);
+           EnterPhase(RolloutPhase::kRolledBack, "in_doubt", now);
   }
-  const uint32_t answers = comparison_.answers() - answers_before_;
-  const uint32_t sent = sent_ - sent_before_;
-  constexpr uint32_t kOneIn = 5;
-  const uint32_t wanted =
-      std::clamp(sent / kOneIn, options_.least_answers, options_.ramp_answers);
-  return now - phase_since_ >= options_.least_ramp && answers >= wanted &&
-         Enter(RolloutPhase::kShift, "as_good", now);
+  const uint32_t answers = comparison_.answers() - answers_at_phase_start_;
+  const uint32_t sent = sent_ - sent_at_phase_start_;
+  constexpr uint32_t kRequestsPerAnswer = 5;
+  const uint32_t wanted = std::clamp(
+      sent / kRequestsPerAnswer, options_.min_answers, options_.ramp_answers);
+  return now - phase_since_ >= options_.min_ramp_time && answers >= wanted &&
+         EnterPhase(RolloutPhase::kShift, "as_good", now);
 }
 
-bool RolloutProgress::StepShift(const Situation& situation) {
-  const TimePoint now = situation.now;
-  if (situation.store_lost || !situation.majority) {
+bool RolloutProgress::StepShift(const StepInput& input) {
+  const TimePoint now = input.now;
+  if (input.store_lost || !input.majority) {
     return false;
   }
   const Duration shifted = now - phase_since_;
-  if (shifted < options_.least_shift) {
+  if (shifted < options_.min_shift_time) {
     return false;
   }
   if (comparison_.in_doubt()) {
-    return now >= end() && Enter(RolloutPhase::kRolledBack, "in_doubt", now);
+    return now >= end() &&
+           EnterPhase(RolloutPhase::kRolledBack, "in_doubt", now);
   }
-  // An order that is past its end already leaves time to finish.
-  const TimePoint last = std::max(end() - options_.end_margin,
-                                  phase_since_ + options_.least_shift);
+  // An order that is already past its end still gets the time to finish.
+  const TimePoint completion_due = std::max(
+      end() - options_.end_margin, phase_since_ + options_.min_shift_time);
   const bool late_start = phase_since_ >= end() - options_.end_margin;
-  const bool over = late_start ? shifted >= options_.overtime : now >= last;
-  return (over || Idle(situation)) &&
-         Enter(RolloutPhase::kCompleted, over ? "time_is_over" : "moved", now);
+  const bool overdue =
+      late_start ? shifted >= options_.overtime : now >= completion_due;
+  return (overdue || IsBaselineIdle(input)) &&
+         EnterPhase(RolloutPhase::kCompleted,
+                    overdue ? "time_is_over" : "moved", now);
 }
 
-bool RolloutProgress::Idle(const Situation& situation) const {
+bool RolloutProgress::IsBaselineIdle(const StepInput& input) const {
   size_t idle = 0;
-  for (const auto& [entry, told] : told_) {
-    if (situation.now - told.at > options_.entry_silence) {
+  for (const auto& [entry, report] : reports_) {
+    if (input.now - report.received_at > options_.report_timeout) {
       continue;
     }
-    if (told.counts.follows != RolloutPhase::kShift ||
-        told.counts.running_at_baseline > 0) {
+    if (report.counts.follows != RolloutPhase::kShift ||
+        report.counts.running_at_baseline > 0) {
       return false;
     }
     ++idle;
   }
-  return idle >= situation.heard;
+  return idle >= input.reachable_entries;
 }
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/rollout/rollout_progress.h
+++ b/lavenderkeel/rollout/rollout_progress.h
@@ -13,50 +13,51 @@
 
 namespace lavenderkeel {
 
-/// Takes one rollout through its phases, by what all entries see of it.
+/// The phases of one rollout, advanced by the reports of all entries.
 ///
 /// The new version is watched on few requests for as long as the order allows,
-/// then on more, and is given all of them only after that. Until then it gets
-/// no more than a bad version may get.
+/// then on more, and gets all requests only after that. Until then it gets no
+/// more than a bad version may get.
 class RolloutProgress {
  public:
   struct Options {
     ExposureBounds bounds;
     VersionComparison::Options comparison;
-    /// Of what a bad version may get, used by the canary and by the ramp.
-    double canary_part = 0.4;
-    double ramp_part = 0.65;
-    /// Of the service's requests, while there is room for it.
+    /// Fractions of the exposure limit that the canary and the ramp may use.
+    double canary_fraction = 0.4;
+    double ramp_fraction = 0.65;
+    /// Fraction of the service's requests sent to the new version during the
+    /// ramp, while the exposure limit allows it.
     double ramp_share = 0.3;
-    /// The ramp begins this part of the order's time before its end.
-    double moving_part = 0.4;
-    Duration least_moving = std::chrono::milliseconds(2500);
-    Duration longest_moving = std::chrono::seconds(12);
-    /// The ramp lasts at least so long, and until so many answers came.
-    Duration least_ramp = std::chrono::milliseconds(1500);
+    /// The ramp begins this fraction of the order's duration before its end.
+    double move_fraction = 0.4;
+    Duration min_move_time = std::chrono::milliseconds(2500);
+    Duration max_move_time = std::chrono::seconds(12);
+    /// The ramp lasts at least this long, and until this many answers arrived.
+    Duration min_ramp_time = std::chrono::milliseconds(1500);
     uint32_t ramp_answers = 40;
-    /// Answers without which nothing is decided for the version.
-    uint32_t least_answers = 8;
-    /// All requests go to the new version at least so long before the old
+    /// With fewer answers than this the version doesn't leave the canary phase.
+    uint32_t min_answers = 8;
+    /// All requests go to the new version for at least this long before the old
     /// servers stop.
-    Duration least_shift = std::chrono::milliseconds(1500);
-    /// Left for the writing of the end.
+    Duration min_shift_time = std::chrono::milliseconds(1500);
+    /// Time reserved for writing the final state.
     Duration end_margin = std::chrono::milliseconds(700);
-    /// What runs at the old version past the order's end gets this long.
+    /// Time for runs at the baseline that last past the order's end.
     Duration overtime = std::chrono::seconds(5);
-    /// An entry that said nothing for this time is not waited for.
-    Duration entry_silence = std::chrono::milliseconds(400);
+    /// An entry without a report for this time is not waited for.
+    Duration report_timeout = std::chrono::milliseconds(400);
   };
 
-  /// What the process that decides knows besides.
-  struct Situation {
+  /// Input of one step besides the reports.
+  struct StepInput {
     TimePoint now;
-    /// Entries that are heard of, this one included, and whether they are more
-    /// than half of all.
-    size_t heard = 1;
+    /// Entries heard from recently, this one included, and whether they are
+    /// more than half of all.
+    size_t reachable_entries = 1;
     bool majority = true;
     bool store_lost = false;
-    /// Servers of the new version that may be used.
+    /// Usable servers of the new version.
     size_t canary_servers = 0;
   };
 
@@ -66,12 +67,12 @@
                 const RolloutCounts& counts,
                 TimePoint now);
   /// @return whether the phase changed
-  bool Step(const Situation& situation);
-  /// The end that the store holds.
+  bool Step(const StepInput& input);
+  /// Sets the final state that was read from the store.
   void SetEnded(RolloutPhase phase);
 
   RolloutPhase phase() const { return phase_; }
-  /// Why the phase is what it is.
+  /// Why the phase was entered, as written to the log.
   const char* reason() const { return reason_; }
   double share() const;
   const VersionComparison& comparison() const { return comparison_; }
@@ -79,18 +80,18 @@
   uint32_t sent_to_canary() const { return sent_to_canary_; }
 
  private:
-  struct Told {
+  struct EntryReport {
     RolloutCounts counts;
-    TimePoint at;
+    TimePoint received_at;
   };
 
-  bool Enter(RolloutPhase phase, const char* reason, TimePoint now);
-  bool StepCanary(const Situation& situation);
-  bool StepRamp(const Situation& situation);
-  bool StepShift(const Situation& situation);
-  bool Idle(const Situation& situation) const;
+  bool EnterPhase(RolloutPhase phase, const char* reason, TimePoint now);
+  bool StepCanary(const StepInput& input);
+  bool StepRamp(const StepInput& input);
+  bool StepShift(const StepInput& input);
+  bool IsBaselineIdle(const StepInput& input) const;
   TimePoint end() const { return started_ + duration_; }
-  Duration moving() const;
+  Duration move_time() const;
 
   Options options_;
   TimePoint started_;
@@ -99,10 +100,10 @@
   const char* reason_ = "ordered";
   TimePoint phase_since_;
   VersionComparison comparison_;
-  /// Answers of the canary, and requests, when the phase began.
-  uint32_t answers_before_ = 0;
-  uint32_t sent_before_ = 0;
-  std::map<std::string, Told> told_;
+  /// The canary's answers and the service's requests when the phase began.
+  uint32_t answers_at_phase_start_ = 0;
+  uint32_t sent_at_phase_start_ = 0;
+  std::map<std::string, EntryReport> reports_;
   uint32_t sent_ = 0;
   uint32_t sent_to_canary_ = 0;
 };
--- a/lavenderkeel/rollout/rollout_wire.cc
+++ b/lavenderkeel/rollout/rollout_wire.cc
@@ -9,23 +9,23 @@
 std::unique_ptr<fbs::VersionAnswersT> ToWire(uint64_t route,
                                              uint64_t server,
                                              const AnswerCounts& counts) {
-  auto told = std::make_unique<fbs::VersionAnswersT>();
-  told->route = route;
-  told->server = server;
-  told->answered = counts.answered;
-  told->failed = counts.failed;
-  told->broken = counts.broken;
-  told->timed = counts.timed;
-  told->slow = counts.slow;
-  return told;
+  auto wire = std::make_unique<fbs::VersionAnswersT>();
+  wire->route = route;
+  wire->server = server;
+  wire->answered = counts.answered;
+  wire->failed = counts.failed;
+  wire->broken = counts.broken;
+  wire->timed = counts.timed;
+  wire->slow = counts.slow;
+  return wire;
 }
 
-AnswerCounts FromWire(const fbs::VersionAnswersT& told) {
-  return {.answered = told.answered,
-          .failed = told.failed,
-          .broken = told.broken,
-          .timed = told.timed,
-          .slow = told.slow};
+AnswerCounts FromWire(const fbs::VersionAnswersT& wire) {
+  return {.answered = wire.answered,
+          .failed = wire.failed,
+          .broken = wire.broken,
+          .timed = wire.timed,
+          .slow = wire.slow};
 }
 
 RolloutPhase PhaseFromWire(uint8_t phase) {
@@ -37,33 +37,33 @@
 }  // namespace
 
 std::unique_ptr<fbs::RolloutCountsT> ToWire(const RolloutCounts& counts) {
-  auto told = std::make_unique<fbs::RolloutCountsT>();
-  told->order = counts.order;
-  told->sent = counts.sent;
-  told->sent_to_canary = counts.sent_to_canary;
-  told->follows = static_cast<uint8_t>(counts.follows);
-  told->running_at_baseline = counts.running_at_baseline;
+  auto wire = std::make_unique<fbs::RolloutCountsT>();
+  wire->order = counts.order;
+  wire->sent = counts.sent;
+  wire->sent_to_canary = counts.sent_to_canary;
+  wire->follows = static_cast<uint8_t>(counts.follows);
+  wire->running_at_baseline = counts.running_at_baseline;
   for (const auto& [id, answers] : counts.canary) {
-    told->canary.push_back(ToWire(id.first, id.second, answers));
+    wire->canary.push_back(ToWire(id.first, id.second, answers));
   }
   for (const auto& [route, answers] : counts.baseline) {
-    told->baseline.push_back(ToWire(route, /*server=*/0, answers));
+    wire->baseline.push_back(ToWire(route, /*server=*/0, answers));
   }
-  return told;
+  return wire;
 }
 
-RolloutCounts FromWire(const fbs::RolloutCountsT& told) {
-  RolloutCounts counts = {.order = told.order,
-                          .sent = told.sent,
-                          .sent_to_canary = told.sent_to_canary,
-                          .follows = PhaseFromWire(told.follows),
-                          .running_at_baseline = told.running_at_baseline};
-  for (const auto& answers : told.canary) {
+RolloutCounts FromWire(const fbs::RolloutCountsT& wire) {
+  RolloutCounts counts = {.order = wire.order,
+                          .sent = wire.sent,
+                          .sent_to_canary = wire.sent_to_canary,
+                          .follows = PhaseFromWire(wire.follows),
+                          .running_at_baseline = wire.running_at_baseline};
+  for (const auto& answers : wire.canary) {
     if (answers != nullptr) {
       counts.canary[{answers->route, answers->server}] = FromWire(*answers);
     }
   }
-  for (const auto& answers : told.baseline) {
+  for (const auto& answers : wire.baseline) {
     if (answers != nullptr) {
       counts.baseline[answers->route] = FromWire(*answers);
     }
@@ -72,25 +72,25 @@
 }
 
 std::unique_ptr<fbs::RolloutPlanT> ToWire(const RolloutPlan& plan) {
-  auto told = std::make_unique<fbs::RolloutPlanT>();
-  told->order = plan.order;
-  told->service = plan.service;
-  told->to = plan.to;
-  told->from = plan.from;
-  told->phase = static_cast<uint8_t>(plan.phase);
-  told->share = plan.share;
-  return told;
+  auto wire = std::make_unique<fbs::RolloutPlanT>();
+  wire->order = plan.order;
+  wire->service = plan.service;
+  wire->to = plan.to;
+  wire->from = plan.from;
+  wire->phase = static_cast<uint8_t>(plan.phase);
+  wire->share = plan.share;
+  return wire;
 }
 
-RolloutPlan FromWire(const fbs::RolloutPlanT& told) {
-  const RolloutPhase phase = PhaseFromWire(told.phase);
-  const bool known = static_cast<uint8_t>(phase) == told.phase;
-  return {.order = told.order,
-          .service = told.service,
-          .to = told.to,
-          .from = told.from,
+RolloutPlan FromWire(const fbs::RolloutPlanT& wire) {
+  const RolloutPhase phase = PhaseFromWire(wire.phase);
+  const bool known = static_cast<uint8_t>(phase) == wire.phase;
+  return {.order = wire.order,
+          .service = wire.service,
+          .to = wire.to,
+          .from = wire.from,
           .phase = phase,
-          .share = known ? told.share : 0};
+          .share = known ? wire.share : 0};
 }
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/rollout/rollout_wire.h
+++ b/lavenderkeel/rollout/rollout_wire.h
@@ -10,12 +10,12 @@
 namespace lavenderkeel {
 
 std::unique_ptr<fbs::RolloutCountsT> ToWire(const RolloutCounts& counts);
-RolloutCounts FromWire(const fbs::RolloutCountsT& told);
+RolloutCounts FromWire(const fbs::RolloutCountsT& wire);
 
 std::unique_ptr<fbs::RolloutPlanT> ToWire(const RolloutPlan& plan);
-/// A phase that is not known here is read as the one that gives the new version
-/// least.
-RolloutPlan FromWire(const fbs::RolloutPlanT& told);
+/// An unknown phase is read as the one that gives the new version the fewest
+/// requests.
+RolloutPlan FromWire(const fbs::RolloutPlanT& wire);
 
 }  // namespace lavenderkeel
 
--- a/lavenderkeel/rollout/service_versions.cc
+++ b/lavenderkeel/rollout/service_versions.cc
@@ -4,40 +4,41 @@
 
 namespace lavenderkeel {
 
-ServiceVersions::Known& ServiceVersions::Look(const std::string& service) {
-  Known& known = services_[service];
-  if (known.generation == directory_.generation()) {
-    return known;
+ServiceVersions::ServiceState& ServiceVersions::RefreshServers(
+    const std::string& service) {
+  ServiceState& state = services_[service];
+  if (state.generation == directory_.generation()) {
+    return state;
   }
-  known.generation = directory_.generation();
-  known.servers.clear();
+  state.generation = directory_.generation();
+  state.servers.clear();
   for (const BackendServer* server : directory_.Usable(service)) {
-    ++known.servers[server->version];
+    ++state.servers[server->version];
   }
-  return known;
+  return state;
 }
 
 const std::string& ServiceVersions::Baseline(const std::string& service,
-                                             const std::string& other_than) {
-  Known& known = Look(service);
+                                             const std::string& excluded) {
+  ServiceState& state = RefreshServers(service);
   const bool stays =
-      known.servers.contains(known.baseline) || known.servers.empty();
-  const bool counts = other_than.empty() || known.baseline != other_than;
-  if (stays && counts) {
-    return known.baseline;
+      state.servers.contains(state.baseline) || state.servers.empty();
+  const bool allowed = excluded.empty() || state.baseline != excluded;
+  if (stays && allowed) {
+    return state.baseline;
   }
-  const std::string* most = nullptr;
+  const std::string* most_common = nullptr;
   size_t servers = 0;
-  for (const auto& [version, count] : known.servers) {
-    if (count > servers && (other_than.empty() || version != other_than)) {
-      most = &version;
+  for (const auto& [version, count] : state.servers) {
+    if (count > servers && (excluded.empty() || version != excluded)) {
+      most_common = &version;
       servers = count;
     }
   }
-  if (most != nullptr) {
-    known.baseline = *most;
+  if (most_common != nullptr) {
+    state.baseline = *most_common;
   }
-  return known.baseline;
+  return state.baseline;
 }
 
 void ServiceVersions::SetBaseline(const std::string& service,
@@ -45,11 +46,11 @@
   services_[service].baseline = version;
 }
 
-size_t ServiceVersions::Servers(const std::string& service,
-                                const std::string& version) {
-  const Known& known = Look(service);
-  const auto found = known.servers.find(version);
-  return found == known.servers.end() ? 0 : found->second;
+size_t ServiceVersions::CountServers(const std::string& service,
+                                     const std::string& version) {
+  const ServiceState& state = RefreshServers(service);
+  const auto found = state.servers.find(version);
+  return found == state.servers.end() ? 0 : found->second;
 }
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/rollout/service_versions.h
+++ b/lavenderkeel/rollout/service_versions.h
@@ -8,37 +8,37 @@
 
 namespace lavenderkeel {
 
-/// Which version of a service is in force where no order says so.
+/// The version of each service that is in force unless an order says otherwise.
 ///
-/// It is that of most of its servers when they were seen first, and stays so
-/// for as long as one of them may be used: a version whose servers come to
-/// stand beside it is not in force until it was ordered.
+/// It is the version of most servers when they were first listed, and stays so
+/// while one of them is usable: a version whose servers are added later is not
+/// in force until it is ordered.
 class ServiceVersions {
  public:
   explicit ServiceVersions(const ServerDirectory& directory)
       : directory_(directory) {}
 
-  /// Empty if the service has no servers and had none.
-  /// @param other_than a version that does not count
+  /// Empty if the service has never had servers.
+  /// @param excluded a version that is not considered
   const std::string& Baseline(const std::string& service,
-                              const std::string& other_than = {});
-  /// An order was carried out.
+                              const std::string& excluded = {});
+  /// Called when an order takes effect.
   void SetBaseline(const std::string& service, const std::string& version);
-  /// Servers of the version that may be used.
-  size_t Servers(const std::string& service, const std::string& version);
+  /// The number of usable servers of the version.
+  size_t CountServers(const std::string& service, const std::string& version);
 
  private:
-  struct Known {
+  struct ServiceState {
     std::string baseline;
     uint64_t generation = 0;
     std::map<std::string, size_t> servers;
   };
 
-  /// Counts the servers anew if the list changed.
-  Known& Look(const std::string& service);
+  /// Recounts the servers if the list changed.
+  ServiceState& RefreshServers(const std::string& service);
 
   const ServerDirectory& directory_;
-  std::map<std::string, Known> services_;
+  std::map<std::string, ServiceState> services_;
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/rollout/version_comparison.cc
+++ b/lavenderkeel/rollout/version_comparison.cc
@@ -7,50 +7,51 @@
 
 namespace {
 
-/// Samples beyond which the older ones are halved.
-constexpr double kMemory = 400;
+/// Sample count above which both sums are halved, so that old samples fade.
+constexpr double kMaxSamples = 400;
 
-/// Samples that a part is taken to have begun with, one of them bad.
+/// Samples of the prior, one of which is bad.
 constexpr double kPriorSamples = 20;
 
-/// A part is taken to be so many standard deviations above what was seen, so
-/// that little is said against the new version while little is known of the old
-/// one.
-constexpr double kDeviations = 1.5;
+/// The estimate is this many standard deviations above the observed fraction,
+/// so that scarce data on the baseline doesn't count against the new version.
+constexpr double kMarginDeviations = 1.5;
 
-/// A worse version's part stays below one.
-constexpr double kMostBad = 0.95;
+/// Keeps the assumed fraction of a worse version below one.
+constexpr double kMaxBadFraction = 0.95;
 
 }  // namespace
 
-void VersionComparison::RecentPart::Add(uint32_t more, double more_bad) {
-  samples += more;
-  bad += more_bad;
-  if (samples > kMemory) {
+void VersionComparison::RecentFraction::Add(uint32_t added, double added_bad) {
+  samples += added;
+  bad += added_bad;
+  if (samples > kMaxSamples) {
     samples /= 2;
     bad /= 2;
   }
 }
 
-double VersionComparison::RecentPart::value(double least) const {
-  const double seen = bad + 1;
-  return std::max(least, (seen + kDeviations * std::sqrt(seen)) /
-                             (samples + kPriorSamples));
+double VersionComparison::RecentFraction::Estimate(double min_fraction) const {
+  const double bad_with_prior = bad + 1;
+  return std::max(
+      min_fraction,
+      (bad_with_prior + kMarginDeviations * std::sqrt(bad_with_prior)) /
+          (samples + kPriorSamples));
 }
 
-double VersionComparison::ByServer::Add(uint64_t server,
-                                        double more,
-                                        const Options& options) {
+double VersionComparison::BadAnswersByServer::Add(uint64_t server,
+                                                  double added,
+                                                  const Options& options) {
   double& bad = bad_.try_emplace(server, 0).first->second;
-  double allowed = more;
+  double allowed = added;
   if (bad_.size() > 1) {
-    const double others = (all_ - bad) / static_cast<double>(bad_.size() - 1);
-    const double most =
-        options.from_one_server + options.per_others_mean * others;
-    allowed = std::clamp(most - bad, 0.0, more);
+    const double others = (total_ - bad) / static_cast<double>(bad_.size() - 1);
+    const double limit =
+        options.max_from_one_server + options.per_others_mean * others;
+    allowed = std::clamp(limit - bad, 0.0, added);
   }
-  bad += more;
-  all_ += more;
+  bad += added;
+  total_ += added;
   return allowed;
 }
 
@@ -58,48 +59,52 @@
                                  double& total,
                                  double samples,
                                  double bad,
-                                 double before,
-                                 double after) {
-  const double change = bad * std::log(after / before) +
-                        (samples - bad) * std::log((1 - after) / (1 - before));
+                                 double baseline,
+                                 double worse_version) {
+  const double change =
+      bad * std::log(worse_version / baseline) +
+      (samples - bad) * std::log((1 - worse_version) / (1 - baseline));
   score = std::max(0.0, score + change);
   total = std::max(0.0, total + change);
 }
 
-void VersionComparison::AddBaseline(uint64_t route, const AnswerCounts& more) {
+void VersionComparison::AddBaseline(uint64_t route, const AnswerCounts& added) {
   RouteState& state = routes_[route];
-  state.failures.Add(more.answered,
-                     more.failed + options_.broken_weight * more.broken);
-  state.slow.Add(more.timed, more.slow);
+  state.failures.Add(added.answered,
+                     added.failed + options_.broken_weight * added.broken);
+  state.slow.Add(added.timed, added.slow);
 }
 
 void VersionComparison::AddCanary(uint64_t route,
                                   uint64_t server,
-                                  const AnswerCounts& more) {
+                                  const AnswerCounts& added) {
   RouteState& state = routes_[route];
-  answers_ += more.answered;
-  failures_.Note(server);
-  slow_.Note(server);
-  if (more.answered > 0) {
-    const double before = state.failures.value(options_.least_failures);
-    const double after =
-        std::min(kMostBad, before * (1 + options_.more_failures_per_baseline) +
-                               options_.more_failures);
+  answers_ += added.answered;
+  failures_.AddServer(server);
+  slow_.AddServer(server);
+  if (added.answered > 0) {
+    const double baseline = state.failures.Estimate(options_.min_failures);
+    const double worse_version =
+        std::min(kMaxBadFraction,
+                 baseline * (1 + options_.failure_increase_per_baseline) +
+                     options_.failure_increase);
     const double bad = failures_.Add(
-        server, more.failed + options_.broken_weight * more.broken, options_);
-    AddScore(state.failure_score, all_failures_score_, more.answered, bad,
-             before, after);
+        server, added.failed + options_.broken_weight * added.broken, options_);
+    AddScore(state.failure_score, total_failure_score_, added.answered, bad,
+             baseline, worse_version);
   }
-  if (more.timed > 0) {
-    const double before = state.slow.value(options_.least_slow);
-    const double after = std::min(kMostBad, before + options_.more_slow);
-    const double bad = slow_.Add(server, more.slow, options_);
-    AddScore(state.slow_score, all_slow_score_, more.timed, bad, before, after);
+  if (added.timed > 0) {
+    const double baseline = state.slow.Estimate(options_.min_slow);
+    const double worse_version =
+        std::min(kMaxBadFraction, baseline + options_.slow_increase);
+    const double bad = slow_.Add(server, added.slow, options_);
+    AddScore(state.slow_score, total_slow_score_, added.timed, bad, baseline,
+             worse_version);
   }
 }
 
 double VersionComparison::failure_score() const {
-  double highest = all_failures_score_;
+  double highest = total_failure_score_;
   for (const auto& [route, state] : routes_) {
     highest = std::max(highest, state.failure_score);
   }
@@ -107,7 +112,7 @@
 }
 
 double VersionComparison::slow_score() const {
-  double highest = all_slow_score_;
+  double highest = total_slow_score_;
   for (const auto& [route, state] : routes_) {
     highest = std::max(highest, state.slow_score);
   }
--- a/lavenderkeel/rollout/version_comparison.h
+++ b/lavenderkeel/rollout/version_comparison.h
@@ -9,95 +9,98 @@
 
 namespace lavenderkeel {
 
-/// Tells whether a new version does worse than the old one in the same time.
+/// A test of whether a new version does worse than the baseline over the same
+/// time.
 ///
-/// By route and in all, a cumulative sum of log likelihood ratios (CUSUM) tests
-/// whether more of the new version's answers fail, or are slow, than of the old
-/// one's. A sum never falls below zero, so that a version which turns bad late
-/// is found as soon as one that is bad at once.
+/// Per route and in total, a cumulative sum of log likelihood ratios (CUSUM)
+/// tests whether more of the new version's answers fail, or are slow, than of
+/// the baseline's. A sum never falls below zero, so a version that turns bad
+/// late is found as soon as one that is bad from the start.
 class VersionComparison {
  public:
   struct Options {
-    /// A sum above this says that the version is worse. Chance alone brings it
-    /// about once in some 20,000 answers.
-    double alarm = 10;
-    /// Above this the version is in doubt.
-    double doubt = 4;
-    /// What a worse version has beyond the old one's part of failures: this and
-    /// so many times that part.
-    double more_failures = 0.04;
-    double more_failures_per_baseline = 0.7;
-    /// The old version is not taken to be better than this.
-    double least_failures = 0.005;
+    /// The version is worse if a sum reaches this. Chance alone causes that
+    /// about once in 20,000 answers.
+    double alarm_score = 10;
+    /// The version is in doubt if a sum reaches this.
+    double doubt_score = 4;
+    /// The assumed failure fraction of a worse version exceeds the baseline's
+    /// by the first value plus the second times the baseline's fraction.
+    double failure_increase = 0.04;
+    double failure_increase_per_baseline = 0.7;
+    /// Lower bound of the baseline's estimated failure fraction.
+    double min_failures = 0.005;
     /// The same for slow answers.
-    double more_slow = 0.4;
-    double least_slow = 0.03;
-    /// A lost connection says this much less than an answer that fails: servers
-    /// crash whatever their version.
+    double slow_increase = 0.4;
+    double min_slow = 0.03;
+    /// Weight of a lost connection relative to a failed answer: servers crash
+    /// whatever their version.
     double broken_weight = 0.25;
-    /// Bad answers of a single server that count whatever the others do, and
-    /// how many times the others' mean count beyond: a server fails by itself,
-    /// a version on all its servers.
-    double from_one_server = 2;
+    /// Bad answers of a single server count up to the first value plus the
+    /// second times the mean of the other servers: a fault of a server affects
+    /// that server, a fault of a version affects all of them.
+    double max_from_one_server = 2;
     double per_others_mean = 2;
   };
 
   explicit VersionComparison(const Options& options) : options_(options) {}
   VersionComparison() : VersionComparison(Options()) {}
 
-  void AddBaseline(uint64_t route, const AnswerCounts& more);
-  void AddCanary(uint64_t route, uint64_t server, const AnswerCounts& more);
+  void AddBaseline(uint64_t route, const AnswerCounts& added);
+  void AddCanary(uint64_t route, uint64_t server, const AnswerCounts& added);
 
-  /// The highest of the sums, of answers that fail and of slow ones.
+  /// The highest sum over all routes and the total.
   double failure_score() const;
   double slow_score() const;
   double score() const { return std::max(failure_score(), slow_score()); }
-  bool worse() const { return score() >= options_.alarm; }
-  bool in_doubt() const { return score() >= options_.doubt; }
-  /// Answers of the new version that were looked at.
+  bool worse() const { return score() >= options_.alarm_score; }
+  bool in_doubt() const { return score() >= options_.doubt_score; }
+  /// Answers of the new version that were compared.
   uint32_t answers() const { return answers_; }
 
  private:
-  /// A part of samples, of which the older count less and less.
-  struct RecentPart {
+  /// The bad fraction of samples, with decreasing weight of older ones.
+  struct RecentFraction {
     double samples = 0;
     double bad = 0;
 
-    void Add(uint32_t more, double more_bad);
-    /// Shrunk towards a small part while there are few samples.
-    double value(double least) const;
+    void Add(uint32_t added, double added_bad);
+    /// The estimate, drawn towards a small fraction while there are few
+    /// samples.
+    /// @param min_fraction lower bound of the estimate
+    double Estimate(double min_fraction) const;
   };
   struct RouteState {
-    RecentPart failures;
-    RecentPart slow;
+    RecentFraction failures;
+    RecentFraction slow;
     double failure_score = 0;
     double slow_score = 0;
   };
-  /// Bad answers by server, to tell one bad server from a bad version.
-  class ByServer {
+  /// Bad answers per server, to tell a bad server from a bad version.
+  class BadAnswersByServer {
    public:
-    /// @return those of the `more` that count
-    double Add(uint64_t server, double more, const Options& options);
-    void Note(uint64_t server) { bad_.try_emplace(server, 0); }
+    /// @return how many of the `added` bad answers count against the version
+    double Add(uint64_t server, double added, const Options& options);
+    void AddServer(uint64_t server) { bad_.try_emplace(server, 0); }
 
    private:
     std::map<uint64_t, double> bad_;
-    double all_ = 0;
+    double total_ = 0;
   };
 
   static void AddScore(double& score,
                        double& total,
                        double samples,
                        double bad,
-                       double before,
-                       double after);
+                       double baseline,
+                       double worse_version);
 
   Options options_;
   std::map<uint64_t, RouteState> routes_;
-  ByServer failures_;
-  ByServer slow_;
-  double all_failures_score_ = 0;
-  double all_slow_score_ = 0;
+  BadAnswersByServer failures_;
+  BadAnswersByServer slow_;
+  double total_failure_score_ = 0;
+  double total_slow_score_ = 0;
   uint32_t answers_ = 0;
 };
 
--- a/test/rollout/rollout_controller_test.cc
+++ b/test/rollout/rollout_controller_test.cc
@@ -45,7 +45,7 @@
 
   RolloutPhase Phase() const { return rollouts.Plans().front().phase; }
 
-  /// Answers of the new version, all of which failed.
+  /// Reports answers of the new version all of which failed.
   void AddFailures() {
     RolloutCounts counts = {.order = KeyOf(Order(0)), .sent = 500};
     counts.baseline[1] = {.answered = 500};
@@ -77,7 +77,8 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(OrderIsAnsweredAtOnce) {
+// Guards against an order that the operator sees without a state.
+BOOST_AUTO_TEST_CASE(OrderIsRecordedAtOnce) {
   Harness harness;
   harness.rollouts.OnList({harness.Order(5)});
   harness.Tick();
@@ -87,7 +88,8 @@
   BOOST_TEST(harness.written[0].revision == 5);
 }
 
-BOOST_AUTO_TEST_CASE(OnlyTheEntryThatDecidesWrites) {
+// Guards against entries that overwrite each other's records.
+BOOST_AUTO_TEST_CASE(OnlyTheDecidingEntryWritesRecords) {
   Harness harness;
   harness.rollouts.OnList({harness.Order(5)});
   harness.AddFailures();
@@ -96,8 +98,9 @@
   BOOST_TEST((harness.Phase() == RolloutPhase::kRolledBack));
 }
 
-// The answer to a write is lost: nobody learns that the version was taken back.
-BOOST_AUTO_TEST_CASE(RecordWhoseAnswerWasLostIsWrittenAgain) {
+// Guards against a rollback that is never recorded because the reply to its
+// write was lost.
+BOOST_AUTO_TEST_CASE(RecordIsWrittenAgainWithoutAReply) {
   Harness harness;
   harness.rollouts.OnList({harness.Order(5)});
   harness.Tick();
@@ -112,8 +115,8 @@
   BOOST_TEST(harness.written[2].revision == 8);
 }
 
-// Another entry ended the rollout otherwise: its record holds.
-BOOST_AUTO_TEST_CASE(EndThatTheStoreHoldsGoesBeforeOurs) {
+// Guards against overriding the final state that another entry recorded.
+BOOST_AUTO_TEST_CASE(RecordedEndOverridesTheLocalPhase) {
   Harness harness;
   harness.rollouts.OnList({harness.Order(5)});
   harness.Tick();
@@ -130,8 +133,9 @@
   BOOST_TEST(harness.written.size() == 1);
 }
 
-// A version that was taken back is ordered again after a restart of all.
-BOOST_AUTO_TEST_CASE(EndIsKnownAfterARestart) {
+// Guards against a rolled-back version that is rolled out again after all
+// entries restarted.
+BOOST_AUTO_TEST_CASE(RecordedEndHoldsAfterARestart) {
   Harness harness;
   RolloutOrder ended = harness.Order(9);
   ended.record = {.state = State::kRolledBack, .to = "v2", .from = "v1"};
@@ -141,6 +145,7 @@
   BOOST_TEST(harness.written.empty());
 }
 
+// Guards against traffic that follows an order after its removal.
 BOOST_AUTO_TEST_CASE(WithdrawnOrderHasNoPlan) {
   Harness harness;
   harness.rollouts.OnList({harness.Order(5)});
@@ -149,8 +154,8 @@
   BOOST_TEST(harness.rollouts.Plans().empty());
 }
 
-// Nothing is moved while the end could not be written.
-BOOST_AUTO_TEST_CASE(CanaryIsHeldWhileTheStoreIsAway) {
+// Guards against moving traffic while the final state can't be written.
+BOOST_AUTO_TEST_CASE(CanaryIsHeldWhileTheStoreIsUnavailable) {
   Harness harness;
   harness.rollouts.OnList({harness.Order(5)});
   RolloutCounts counts = {.order = KeyOf(harness.Order(0)), .sent = 1000};
--- a/test/rollout/rollout_fleet_test.cc
+++ b/test/rollout/rollout_fleet_test.cc
@@ -1,6 +1,6 @@
 #include <boost/test/unit_test.hpp>
 
-#include "test/rollout/rollout_world.h"
+#include "test/rollout/rollout_simulation.h"
 
 namespace lavenderkeel {
 
@@ -11,38 +11,40 @@
 
 }  // namespace
 
-// Servers of a version stand beside the others before anybody orders it.
-BOOST_AUTO_TEST_CASE(VersionThatNobodyOrderedGetsNoRequests) {
-  RolloutWorld world({});
-  world.Play(seconds(2));
-  world.farm().AddVersion("v2");
-  world.Play(seconds(3));
-  BOOST_TEST(world.farm().ArrivalsAt("v2") == 0);
-  BOOST_TEST(world.farm().ArrivalsAt("v1") > 300);
+// Guards against requests to servers of a version that no order names.
+BOOST_AUTO_TEST_CASE(UnorderedVersionGetsNoRequests) {
+  RolloutSimulation simulation({});
+  simulation.RunFor(seconds(2));
+  simulation.versions().AddVersion("v2");
+  simulation.RunFor(seconds(3));
+  BOOST_TEST(simulation.versions().ArrivalsAt("v2") == 0);
+  BOOST_TEST(simulation.versions().ArrivalsAt("v1") > 300);
 }
 
-// A version that fails half of its answers reaches more callers than it may.
-BOOST_AUTO_TEST_CASE(FailingVersionIsTakenBack) {
-  RolloutWorld world({});
-  world.Play(seconds(3));
-  world.Order();
-  world.farm().SetBadness("v2", {.share = 0.5}, world.ordered_at());
-  world.Play(seconds(16));
-  BOOST_TEST(world.State() == "rolled_back");
-  BOOST_TEST(world.OverExposed() <= 0);
-  BOOST_TEST(world.AfterFiftieth() == 0);
+// Guards against a version that fails half of its answers and reaches more
+// callers than the exposure limit allows.
+BOOST_AUTO_TEST_CASE(FailingVersionIsRolledBack) {
+  RolloutSimulation simulation({});
+  simulation.RunFor(seconds(3));
+  simulation.OrderRollout();
+  simulation.versions().SetFault("v2", {.share = 0.5}, simulation.ordered_at());
+  simulation.RunFor(seconds(16));
+  BOOST_TEST(simulation.State() == "rolled_back");
+  BOOST_TEST(simulation.ExcessExposure() <= 0);
+  BOOST_TEST(simulation.LateArrivals() == 0);
 }
 
-// A sound version is not completed in time, or old servers stop under requests.
+// Guards against a good version that is not completed in time, and against old
+// servers that stop while they run requests.
 BOOST_AUTO_TEST_CASE(GoodVersionIsCompletedInTime) {
-  RolloutWorld world({});
-  world.Play(seconds(3));
-  world.Order();
-  world.Play(seconds(16));
-  BOOST_TEST(world.State() == "completed");
-  BOOST_REQUIRE(world.ended_at().has_value());
-  BOOST_TEST((*world.ended_at() <= world.due()));
-  BOOST_TEST(world.farm().cut_by_stop() == 0);
+  RolloutSimulation simulation({});
+  simulation.RunFor(seconds(3));
+  simulation.OrderRollout();
+  simulation.RunFor(seconds(16));
+  BOOST_TEST(simulation.State() == "completed");
+  BOOST_REQUIRE(simulation.ended_at().has_value());
+  BOOST_TEST((*simulation.ended_at() <= simulation.due()));
+  BOOST_TEST(simulation.versions().cut_by_stop() == 0);
 }
 
 }  // namespace lavenderkeel
--- a/test/rollout/rollout_guide_test.cc
+++ b/test/rollout/rollout_guide_test.cc
@@ -24,9 +24,9 @@
     directory.ApplyList(servers, clock.Now());
   }
 
-  void Tell(RolloutPhase phase,
-            double share = 0.05,
-            const std::string& from = "v1") {
+  void SetPlan(RolloutPhase phase,
+               double share = 0.05,
+               const std::string& from = "v1") {
     guide.OnPlans({{.order = 9,
                     .service = "plain",
                     .to = "v2",
@@ -35,8 +35,8 @@
                     .share = share}});
   }
 
-  /// Requests of which the new version goes first for some.
-  int Chosen(int requests) {
+  /// Sends this many requests and returns how many preferred the canary.
+  int CountCanary(int requests) {
     int chosen = 0;
     for (int i = 0; i < requests; ++i) {
       const RolloutGuide::Choice choice =
@@ -61,6 +61,8 @@
 
 }  // namespace
 
+// Guards against requests to a version that an order not yet read has ruled
+// out.
 BOOST_AUTO_TEST_CASE(NothingIsSentBeforeTheOrdersAreKnown) {
   Harness harness;
   BOOST_TEST(!harness.guide.known());
@@ -68,19 +70,21 @@
   BOOST_TEST(harness.guide.known());
 }
 
-BOOST_AUTO_TEST_CASE(CanaryStaysBelowWhatABadVersionMayGet) {
+// Guards against a canary that uses more than its fraction of the exposure
+// limit.
+BOOST_AUTO_TEST_CASE(CanaryStaysWithinTheExposureLimit) {
   Harness harness;
-  harness.Tell(RolloutPhase::kCanary);
-  const int few = harness.Chosen(100);
+  harness.SetPlan(RolloutPhase::kCanary);
+  const int few = harness.CountCanary(100);
   BOOST_TEST(few > 0);
-  BOOST_TEST(few + harness.Chosen(900) <= 0.5 * (0.1 * 1000 + 50));
+  BOOST_TEST(few + harness.CountCanary(900) <= 0.5 * (0.1 * 1000 + 50));
 }
 
-// An entry that hears nothing more goes on sending to a version that was taken
-// back.
-BOOST_AUTO_TEST_CASE(PlanThatIsNotHeardAgainGivesNothing) {
+// Guards against an entry that receives no more plans and keeps sending to a
+// version that was rolled back meanwhile.
+BOOST_AUTO_TEST_CASE(ExpiredPlanDoesNotAdmitTheNewVersion) {
   Harness harness;
-  harness.Tell(RolloutPhase::kShift);
+  harness.SetPlan(RolloutPhase::kShift);
   BOOST_TEST(harness.guide.Admits("plain", "v2"));
   harness.clock.Advance(seconds(2));
   BOOST_TEST(!harness.guide.Admits("plain", "v2"));
@@ -88,38 +92,40 @@
               RolloutGuide::Choice{.version = "v1"}));
 }
 
-// A slot that was granted before is used after the version was taken back.
-BOOST_AUTO_TEST_CASE(VersionThatWasTakenBackIsNotAdmitted) {
+// Guards against a slot granted before the rollback that is used after it.
+BOOST_AUTO_TEST_CASE(RolledBackVersionIsNotAdmitted) {
   Harness harness;
-  harness.Tell(RolloutPhase::kShift);
-  harness.Tell(RolloutPhase::kRolledBack);
+  harness.SetPlan(RolloutPhase::kShift);
+  harness.SetPlan(RolloutPhase::kRolledBack);
   BOOST_TEST(!harness.guide.Admits("plain", "v2"));
-  // Another entry that decides has not seen as much.
-  harness.Tell(RolloutPhase::kCanary);
+  // A plan of another deciding entry that has seen fewer failures.
+  harness.SetPlan(RolloutPhase::kCanary);
   BOOST_TEST(!harness.guide.Admits("plain", "v2"));
-  BOOST_TEST(harness.Chosen(100) == 0);
+  BOOST_TEST(harness.CountCanary(100) == 0);
 }
 
+// Guards against a retry at the new version of a request that has already
+// failed once.
 BOOST_AUTO_TEST_CASE(RepeatedRequestsStayAtTheOldVersion) {
   Harness harness;
-  harness.Tell(RolloutPhase::kRamp, 1.0);
+  harness.SetPlan(RolloutPhase::kRamp, 1.0);
   for (int i = 0; i < 100; ++i) {
     BOOST_TEST(
         harness.guide.Choose("plain", "route", /*fresh=*/false).canary.empty());
   }
 }
 
-// A slot that was asked for as the plan says is given back as it comes, and
-// asked for again without end.
-BOOST_AUTO_TEST_CASE(WhatIsChosenIsAdmitted) {
+// Guards against slots that are acquired for the chosen version, returned as
+// not admitted and acquired again in an endless loop.
+BOOST_AUTO_TEST_CASE(ChosenVersionIsAdmitted) {
   using Phase = RolloutPhase;
   for (const Phase phase : {Phase::kCanary, Phase::kRamp, Phase::kShift,
                             Phase::kRolledBack, Phase::kCompleted}) {
     for (const char* from : {"v1", ""}) {
       Harness harness;
-      harness.Tell(phase, /*share=*/0.3, from);
-      for (const Duration silence : {Duration(), Duration(seconds(2))}) {
-        harness.clock.Advance(silence);
+      harness.SetPlan(phase, /*share=*/0.3, from);
+      for (const Duration elapsed : {Duration(), Duration(seconds(2))}) {
+        harness.clock.Advance(elapsed);
         const RolloutGuide::Choice choice =
             harness.guide.Choose("plain", "route", /*fresh=*/true);
         BOOST_TEST(!choice.version.empty());
@@ -129,19 +135,21 @@
   }
 }
 
-// An entry that decides without a list of servers names no old version.
+// Guards against opening the new version when the deciding entry has no server
+// list and names no old version.
 BOOST_AUTO_TEST_CASE(PlanWithoutAnOldVersionDoesNotOpenTheNewOne) {
   Harness harness;
-  harness.Tell(RolloutPhase::kCanary, /*share=*/0, /*from=*/"");
+  harness.SetPlan(RolloutPhase::kCanary, /*share=*/0, /*from=*/"");
   BOOST_TEST(harness.guide.Choose("plain", "route", true).version == "v1");
-  harness.Tell(RolloutPhase::kRolledBack, /*share=*/0, /*from=*/"");
+  harness.SetPlan(RolloutPhase::kRolledBack, /*share=*/0, /*from=*/"");
   harness.directory.Remove("v1", harness.clock.Now());
   BOOST_TEST(!harness.guide.Admits("plain", "v2"));
 }
 
-BOOST_AUTO_TEST_CASE(OldVersionIsNotUsedAfterTheEnd) {
+// Guards against requests to old servers that stop after completion.
+BOOST_AUTO_TEST_CASE(OldVersionIsNotUsedAfterCompletion) {
   Harness harness;
-  harness.Tell(RolloutPhase::kCompleted);
+  harness.SetPlan(RolloutPhase::kCompleted);
   BOOST_TEST(!harness.guide.Admits("plain", "v1"));
   harness.clock.Advance(seconds(5));
   BOOST_TEST(harness.guide.Admits("plain", "v2"));
--- a/test/rollout/versioned_farm.cc
+++ b/test/rollout/simulated_versions.cc
@@ -1,4 +1,4 @@
-#include "test/rollout/versioned_farm.h"
+#include "test/rollout/simulated_versions.h"
 
 #include <algorithm>
 #include <utility>
@@ -18,33 +18,34 @@
 
 }  // namespace
 
-VersionedFarm::VersionedFarm(fakes::FleetWorld& fleet, const Options& options)
+SimulatedVersions::SimulatedVersions(fakes::FleetWorld& fleet,
+                                     const Options& options)
     : fleet_(fleet), options_(options), random_(options.seed) {}
 
-void VersionedFarm::AddVersion(const std::string& version) {
+void SimulatedVersions::AddVersion(const std::string& version) {
   for (int i = 0; i < options_.servers; ++i) {
     Server server = {
         .id = version + "-" + std::to_string(i),
         .address = "10.0." + std::to_string(servers_.size() + 2) + ".1:1",
         .version = version,
-        .speed = i % 3 == 0 ? options_.slow_third : 1};
+        .speed = i % 3 == 0 ? options_.slow_third_factor : 1};
     fleet_.PutServer(server.id, /*draining=*/false, server.address, version);
     servers_.push_back(std::move(server));
   }
 }
 
-void VersionedFarm::StopVersion(const std::string& version) {
+void SimulatedVersions::StopVersion(const std::string& version) {
   for (size_t i = 0; i < servers_.size(); ++i) {
     if (servers_[i].version == version && servers_[i].up) {
       servers_[i].up = false;
       servers_[i].back_at = TimePoint::max();
-      cut_by_stop_ += TakeRuns(i);
+      cut_by_stop_ += RemoveRuns(i);
       fleet_.RemoveServer(servers_[i].id);
     }
   }
 }
 
-void VersionedFarm::DrainVersion(const std::string& version) {
+void SimulatedVersions::DrainVersion(const std::string& version) {
   for (const Server& server : servers_) {
     if (server.version == version) {
       fleet_.PutServer(server.id, /*draining=*/true, server.address, version);
@@ -52,15 +53,15 @@
   }
 }
 
-void VersionedFarm::SetBadness(const std::string& version,
-                               const Badness& badness,
-                               TimePoint ordered) {
+void SimulatedVersions::SetFault(const std::string& version,
+                                 const VersionFault& fault,
+                                 TimePoint ordered) {
   bad_version_ = version;
-  badness_ = badness;
+  fault_ = fault;
   ordered_ = ordered;
 }
 
-void VersionedFarm::Advance(Duration by) {
+void SimulatedVersions::Advance(Duration by) {
   const TimePoint end = fleet_.Now() + by;
   while (fleet_.Now() < end) {
     fleet_.Advance(kStep);
@@ -68,8 +69,9 @@
   }
 }
 
-VersionedFarm::Server& VersionedFarm::At(const std::string& version,
-                                         int index) {
+SimulatedVersions::Server& SimulatedVersions::FindServer(
+    const std::string& version,
+    int index) {
   for (Server& server : servers_) {
     if (server.version == version && index-- == 0) {
       return server;
@@ -78,30 +80,30 @@
   return servers_.front();
 }
 
-void VersionedFarm::Crash(const std::string& version,
-                          int index,
-                          Duration down) {
-  Server& server = At(version, index);
+void SimulatedVersions::Crash(const std::string& version,
+                              int index,
+                              Duration down) {
+  Server& server = FindServer(version, index);
   server.up = false;
   server.back_at = fleet_.Now() + down;
-  TakeRuns(static_cast<size_t>(&server - servers_.data()));
+  RemoveRuns(static_cast<size_t>(&server - servers_.data()));
 }
 
-void VersionedFarm::SetGrey(const std::string& version,
-                            int index,
-                            double share,
-                            TimePoint until) {
-  Server& server = At(version, index);
+void SimulatedVersions::SetGreyFailure(const std::string& version,
+                                       int index,
+                                       double share,
+                                       TimePoint until) {
+  Server& server = FindServer(version, index);
   server.grey_share = share;
   server.grey_until = until;
 }
 
-int VersionedFarm::ArrivalsAt(const std::string& version) const {
+int SimulatedVersions::ArrivalsAt(const std::string& version) const {
   return static_cast<int>(
       std::ranges::count(arrivals_, version, &Arrival::version));
 }
 
-int VersionedFarm::RunningAt(const std::string& version) const {
+int SimulatedVersions::RunningAt(const std::string& version) const {
   int running = 0;
   for (const Server& server : servers_) {
     running += server.version == version ? server.running : 0;
@@ -109,37 +111,37 @@
   return running;
 }
 
-int VersionedFarm::TakeRuns(size_t server) {
+int SimulatedVersions::RemoveRuns(size_t server) {
   const auto at_server = std::stable_partition(
       runs_.begin(), runs_.end(),
       [server](const Run& run) { return run.server != server; });
-  const std::vector<Run> taken(at_server, runs_.end());
+  const std::vector<Run> removed(at_server, runs_.end());
   runs_.erase(at_server, runs_.end());
   servers_[server].running = 0;
-  int wanted = 0;
-  for (const Run& run : taken) {
-    wanted += Wanted(run) ? 1 : 0;
+  int awaited = 0;
+  for (const Run& run : removed) {
+    awaited += IsAwaited(run) ? 1 : 0;
     Fail(run, AttemptFailure::kDisconnected);
   }
-  return wanted;
+  return awaited;
 }
 
-bool VersionedFarm::Wanted(const Run& run) const {
+bool SimulatedVersions::IsAwaited(const Run& run) const {
   return fleet_.runs(run.entry) &&
          fleet_.incarnation(run.entry) == run.incarnation &&
          !fleet_.port(run.entry).sent[run.sent_index].cancelled;
 }
 
-void VersionedFarm::Fail(const Run& run, AttemptFailure failure) {
-  if (Wanted(run)) {
+void SimulatedVersions::Fail(const Run& run, AttemptFailure failure) {
+  if (IsAwaited(run)) {
     fleet_.In(run.entry, [&](ForwardNode& node) {
       node.controller().OnAttemptFailed(run.attempt.attempt, failure);
     });
   }
 }
 
-void VersionedFarm::Reject(const Run& run, int status) {
-  if (!Wanted(run)) {
+void SimulatedVersions::Reject(const Run& run, int status) {
+  if (!IsAwaited(run)) {
     return;
   }
   const ResponseHead head = {
@@ -153,8 +155,8 @@
   });
 }
 
-void VersionedFarm::AnswerWhole(const Run& run) {
-  if (!Wanted(run)) {
+void SimulatedVersions::SendWholeAnswer(const Run& run) {
+  if (!IsAwaited(run)) {
     return;
   }
   const ResponseHead head = {
@@ -169,8 +171,8 @@
   });
 }
 
-void VersionedFarm::AnswerPart(Run& run, bool last) {
-  if (!Wanted(run)) {
+void SimulatedVersions::SendChunk(Run& run, bool last) {
+  if (!IsAwaited(run)) {
     return;
   }
   fleet_.In(run.entry, [&](ForwardNode& node) {
@@ -197,20 +199,20 @@
   });
 }
 
-void VersionedFarm::TakeSent(int entry) {
+void SimulatedVersions::StartSentAttempts(int entry) {
   const uint64_t incarnation = fleet_.incarnation(entry);
-  size_t& taken = taken_[{entry, incarnation}];
-  while (taken < fleet_.port(entry).sent.size()) {
+  size_t& processed = processed_[{entry, incarnation}];
+  while (processed < fleet_.port(entry).sent.size()) {
     Run run = {.entry = entry,
                .incarnation = incarnation,
-               .sent_index = taken,
-               .attempt = fleet_.port(entry).sent[taken]};
-    ++taken;
-    Take(std::move(run));
+               .sent_index = processed,
+               .attempt = fleet_.port(entry).sent[processed]};
+    ++processed;
+    StartRun(std::move(run));
   }
 }
 
-void VersionedFarm::Take(Run run) {
+void SimulatedVersions::StartRun(Run run) {
   const auto server =
       std::ranges::find(servers_, run.attempt.address, &Server::address);
   run.server = static_cast<size_t>(server - servers_.begin());
@@ -234,32 +236,32 @@
     Reject(run, kUnavailable);
     return;
   }
-  Judge(run, *server, route);
+  DecideOutcome(run, *server, route);
   ++server->running;
   runs_.push_back(std::move(run));
 }
 
-void VersionedFarm::Judge(Run& run,
-                          const Server& server,
-                          const std::string& route) {
+void SimulatedVersions::DecideOutcome(Run& run,
+                                      const Server& server,
+                                      const std::string& route) {
   const TimePoint now = fleet_.Now();
   std::lognormal_distribution<> spread(0, 0.4);
-  // A full batch slows each of its requests down.
-  const double crowded = 1 + 0.15 * server.running;
-  double ms = ToFractionalMilliseconds(options_.answers_after) * server.speed *
-              crowded * spread(random_);
+  // A full batch slows down all of its requests.
+  const double batch_slowdown = 1 + 0.15 * server.running;
+  double ms = ToFractionalMilliseconds(options_.answer_time) * server.speed *
+              batch_slowdown * spread(random_);
   run.streams = route == "stream" || route == "once-stream";
   const bool grey = now < server.grey_until && Draw(server.grey_share);
-  run.fails = grey || (route == "once" && Draw(options_.own_failures));
+  run.fails = grey || (route == "once" && Draw(options_.once_failures));
   const bool applies =
-      server.version == bad_version_ && now >= ordered_ + badness_.from &&
-      (badness_.route.empty() || badness_.route == route) &&
-      (!badness_.under_load || server.running * 2 >= options_.slots);
-  if (applies && Draw(badness_.share)) {
+      server.version == bad_version_ && now >= ordered_ + fault_.from &&
+      (fault_.route.empty() || fault_.route == route) &&
+      (!fault_.under_load || server.running * 2 >= options_.slots);
+  if (applies && Draw(fault_.share)) {
     bad_answers_.push_back(now);
-    run.fails = run.fails || badness_.kind == Badness::Kind::kFails;
-    run.cuts = badness_.kind == Badness::Kind::kCuts;
-    ms *= badness_.kind == Badness::Kind::kSlow ? badness_.factor : 1;
+    run.fails = run.fails || fault_.kind == VersionFault::Kind::kFails;
+    run.cuts = fault_.kind == VersionFault::Kind::kCuts;
+    ms *= fault_.kind == VersionFault::Kind::kSlow ? fault_.factor : 1;
   }
   run.first_at = now + FromMilliseconds(ms);
   constexpr double kStreamLength = 4;
@@ -267,22 +269,22 @@
       run.streams ? now + FromMilliseconds(ms * kStreamLength) : run.first_at;
 }
 
-void VersionedFarm::Step() {
+void SimulatedVersions::Step() {
   const TimePoint now = fleet_.Now();
   for (Server& server : servers_) {
     server.up = server.up || now >= server.back_at;
   }
   for (int entry = 0; entry < fleet_.entries(); ++entry) {
     if (fleet_.runs(entry)) {
-      TakeSent(entry);
+      StartSentAttempts(entry);
     }
   }
   for (size_t i = 0; i < runs_.size();) {
     Run& run = runs_[i];
-    const bool over = now >= run.ends_at || !Wanted(run);
+    const bool over = now >= run.ends_at || !IsAwaited(run);
     if (!over) {
       if (run.streams && !run.fails && !run.head_sent && now >= run.first_at) {
-        AnswerPart(run, /*last=*/false);
+        SendChunk(run, /*last=*/false);
       }
       ++i;
       continue;
@@ -293,9 +295,9 @@
     if (ended.cuts) {
       Fail(ended, AttemptFailure::kDisconnected);
     } else if (ended.streams && !ended.fails) {
-      AnswerPart(ended, /*last=*/true);
+      SendChunk(ended, /*last=*/true);
     } else {
-      AnswerWhole(ended);
+      SendWholeAnswer(ended);
     }
   }
 }
--- a/test/rollout/version_comparison_test.cc
+++ b/test/rollout/version_comparison_test.cc
@@ -15,7 +15,8 @@
   return comparison;
 }
 
-/// Answers of the canary at four servers in turn, one in so many bad.
+/// Adds answers of the canary at four servers in rotation, one in `bad_each` of
+/// them bad.
 void AddCanary(VersionComparison& comparison, int answers, int bad_each) {
   constexpr uint64_t kServers = 4;
   for (int i = 1; i <= answers; ++i) {
@@ -27,19 +28,23 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(EqualVersionsAreNotToldApart) {
+// Guards against a verdict by chance against a version that fails as often as
+// the baseline.
+BOOST_AUTO_TEST_CASE(EqualVersionsAreNotWorse) {
   VersionComparison comparison = WithBaseline(1000, 50);
   AddCanary(comparison, 300, 20);
   BOOST_TEST(!comparison.worse());
 }
 
+// Guards against a version that fails more often than the baseline and is not
+// found.
 BOOST_AUTO_TEST_CASE(VersionThatFailsMoreOftenIsFound) {
   VersionComparison comparison = WithBaseline(1000, 50);
   AddCanary(comparison, 100, 3);
   BOOST_TEST(comparison.worse());
 }
 
-// A version that turns bad late hides behind its good beginning.
+// Guards against a version whose good start hides that it turned bad.
 BOOST_AUTO_TEST_CASE(VersionThatTurnsBadIsFoundAsSoon) {
   VersionComparison comparison = WithBaseline(1000, 10);
   AddCanary(comparison, 2000, 0);
@@ -47,7 +52,7 @@
   BOOST_TEST(comparison.worse());
 }
 
-// One bad server is taken for a bad version.
+// Guards against one bad server that is taken for a bad version.
 BOOST_AUTO_TEST_CASE(FailuresOfOneServerDoNotBlameTheVersion) {
   VersionComparison comparison = WithBaseline(1000, 10);
   AddCanary(comparison, 200, 0);
@@ -55,7 +60,8 @@
   BOOST_TEST(!comparison.worse());
 }
 
-// A crash ends all requests of a server at once.
+// Guards against a crash, which ends all requests of a server at once, that is
+// taken for a bad version.
 BOOST_AUTO_TEST_CASE(LostConnectionsOfACrashDoNotBlameTheVersion) {
   VersionComparison comparison = WithBaseline(1000, 10);
   AddCanary(comparison, 50, 0);
@@ -65,8 +71,9 @@
   BOOST_TEST(!comparison.in_doubt());
 }
 
-// Failures of a kind of request that fails by itself.
-BOOST_AUTO_TEST_CASE(LittleIsSaidBeforeTheOldVersionIsKnown) {
+// Guards against blaming the new version for a route whose requests also fail
+// at the baseline, before the baseline has samples.
+BOOST_AUTO_TEST_CASE(NoVerdictBeforeTheBaselineHasSamples) {
   VersionComparison comparison;
   AddCanary(comparison, 20, 5);
   BOOST_TEST(!comparison.worse());
