--- a/lavenderkeel/crash.h
+++ b/lavenderkeel/crash.h
@@ -1,8 +1,9 @@
 #ifndef LAVENDERKEEL_CRASH_H_
 #define LAVENDERKEEL_CRASH_H_
 
-/// Requests under which servers end: how they are recognised, what entries tell
-/// each other of them, and when one is kept from reaching further servers.
+/// Module crash: poison requests, which crash the servers that run them. Covers
+/// how they are recognised, the evidence that entries exchange, and when a
+/// request is kept from further servers.
 #include "lavenderkeel/crash/crash_guard.h"
 #include "lavenderkeel/crash/crash_ledger.h"
 #include "lavenderkeel/crash/crash_report.h"
--- a/lavenderkeel/crash/crash_guard.cc
+++ b/lavenderkeel/crash/crash_guard.cc
@@ -59,39 +59,40 @@
   joining_since_ = clock_.Now();
 }
 
-bool CrashGuard::Joining() const {
+bool CrashGuard::IsJoining() const {
   return joining_since_.has_value() &&
-         clock_.Now() - *joining_since_ < options_.join_patience;
+         clock_.Now() - *joining_since_ < options_.join_timeout;
 }
 
-TimePoint CrashGuard::TurnOf(RequestFingerprint request,
-                             const CrashAssessment& assessment) {
+TimePoint CrashGuard::TrialTime(RequestFingerprint request,
+                                const CrashAssessment& assessment) {
   const TimePoint now = clock_.Now();
   const auto rank =
-      static_cast<int64_t>(std::min(rank_(request), options_.most_turns));
+      static_cast<int64_t>(std::min(rank_(request), options_.max_rank));
   if (now < assessment.next_run) {
-    wishes_.erase(request);
-    return assessment.next_run + options_.turn * rank;
+    pending_trials_.erase(request);
+    return assessment.next_run + options_.trial_interval * rank;
   }
-  // Failure: it comes to all entries at the same moment, long after the last
-  // loss. Symptom: each lets it run and one server each is lost. The first in
-  // order runs it at once; the others wait for what that shows, or for that
-  // entry's turn to pass because the request does not come there.
-  const auto [position, first] =
-      wishes_.try_emplace(request, Wish{now, assessment.next_run});
-  Wish& wish = position->second;
-  const bool passed = now - wish.since > options_.turn * (rank + 2);
-  if (wish.next_run != assessment.next_run || passed) {
-    wish = {.since = now, .next_run = assessment.next_run};
+  // Long after the last loss, the request may arrive at all entries at the same
+  // moment, and if each let it run, each could lose a server. The first entry
+  // in rank order runs it at once; the others wait for the result, or for that
+  // entry's interval to pass because the request doesn't arrive there.
+  const auto [position, first] = pending_trials_.try_emplace(
+      request, PendingTrial{now, assessment.next_run});
+  PendingTrial& trial = position->second;
+  const bool interval_passed =
+      now - trial.since > options_.trial_interval * (rank + 2);
+  if (trial.next_run != assessment.next_run || interval_passed) {
+    trial = {.since = now, .next_run = assessment.next_run};
   }
-  return wish.since + options_.turn * rank;
+  return trial.since + options_.trial_interval * rank;
 }
 
 CrashDecision CrashGuard::Decide(RequestFingerprint request,
                                  const std::function<bool()>& equal_runs) {
   using Kind = CrashDecision::Kind;
   const CrashAssessment assessment = ledger_.Assess(request);
-  if (Joining()) {
+  if (IsJoining()) {
     return {.kind = Kind::kWait,
             .assessment = assessment,
             .retry_after = options_.retry_after};
@@ -100,24 +101,24 @@
     return {.kind = Kind::kRun, .assessment = assessment};
   }
   const TimePoint now = clock_.Now();
-  const TimePoint from =
-      RunsInTurns(assessment) ? TurnOf(request, assessment) : now;
-  if (now >= from && !equal_runs()) {
+  const TimePoint earliest =
+      RunsSequentially(assessment) ? TrialTime(request, assessment) : now;
+  if (now >= earliest && !equal_runs()) {
     return {.kind = Kind::kRun, .assessment = assessment};
   }
   const bool blocked = assessment.standing == CrashStanding::kBlocked;
   return {.kind = blocked ? Kind::kRefuse : Kind::kWait,
           .assessment = assessment,
-          .retry_after = std::max(from - now, options_.retry_after)};
+          .retry_after = std::max(earliest - now, options_.retry_after)};
 }
 
 void CrashGuard::OnSent(RequestFingerprint request) {
-  if (RunsInTurns(ledger_.Assess(request))) {
+  if (RunsSequentially(ledger_.Assess(request))) {
     const TimePoint now = clock_.Now();
-    LearnHere({.kind = CrashReport::Kind::kTried,
-               .request = request,
-               .sent = now,
-               .ended = now});
+    AddLocalReport({.kind = CrashReport::Kind::kTried,
+                    .request = request,
+                    .sent = now,
+                    .ended = now});
   }
 }
 
@@ -128,11 +129,11 @@
   const TimePoint now = clock_.Now();
   const CrashReport report = {
       .kind = CrashReport::Kind::kComesAgain, .request = request, .ended = now};
-  ledger_.Learn(report, now);
-  const auto [told, first] = told_.try_emplace(request, now);
-  if (!first && now - told->second >= options_.tell_again) {
-    told->second = now;
-    news_.push_back(report);
+  ledger_.AddReport(report, now);
+  const auto [last_reminder, first] = last_reminders_.try_emplace(request, now);
+  if (!first && now - last_reminder->second >= options_.remind_period) {
+    last_reminder->second = now;
+    outgoing_.push_back(report);
   }
 }
 
@@ -140,40 +141,40 @@
                               uint64_t server,
                               TimePoint sent) {
   metrics_.Add("server_losses_counted");
-  LearnHere({.kind = CrashReport::Kind::kLost,
-             .request = request,
-             .server = server,
-             .sent = sent,
-             .ended = clock_.Now()});
+  AddLocalReport({.kind = CrashReport::Kind::kLost,
+                  .request = request,
+                  .server = server,
+                  .sent = sent,
+                  .ended = clock_.Now()});
 }
 
 void CrashGuard::OnServerAnswered(uint64_t server, TimePoint sent) {
-  if (ledger_.CountsLossOf(server) && !unreachable_.contains(server)) {
-    LearnHere({.kind = CrashReport::Kind::kServerLives,
-               .server = server,
-               .sent = sent,
-               .ended = clock_.Now()});
+  if (ledger_.HasLossOf(server) && !unreachable_servers_.contains(server)) {
+    AddLocalReport({.kind = CrashReport::Kind::kServerLives,
+                    .server = server,
+                    .sent = sent,
+                    .ended = clock_.Now()});
   }
 }
 
 void CrashGuard::OnServerUnreachable(uint64_t server) {
-  if (ledger_.CountsLossOf(server)) {
-    unreachable_.insert(server);
+  if (ledger_.HasLossOf(server)) {
+    unreachable_servers_.insert(server);
   }
 }
 
 void CrashGuard::OnSurvived(RequestFingerprint request) {
-  if (ledger_.Knows(request)) {
-    LearnHere({.kind = CrashReport::Kind::kSurvived,
-               .request = request,
-               .ended = clock_.Now()});
+  if (ledger_.IsKnown(request)) {
+    AddLocalReport({.kind = CrashReport::Kind::kSurvived,
+                    .request = request,
+                    .ended = clock_.Now()});
   }
 }
 
 void CrashGuard::OnNews(const CrashNews& news, bool pass_on) {
   for (const CrashReport& report : FromWire(news, clock_.Now())) {
-    if (Learn(report, "peer") && pass_on) {
-      news_.push_back(report);
+    if (AddReport(report, "peer") && pass_on) {
+      outgoing_.push_back(report);
     }
   }
   if (news.complete) {
@@ -181,14 +182,14 @@
   }
 }
 
-void CrashGuard::LearnHere(const CrashReport& report) {
-  if (Learn(report, "here")) {
-    news_.push_back(report);
+void CrashGuard::AddLocalReport(const CrashReport& report) {
+  if (AddReport(report, "here")) {
+    outgoing_.push_back(report);
   }
 }
 
-bool CrashGuard::Learn(const CrashReport& report, std::string_view from) {
-  if (!ledger_.Learn(report, clock_.Now())) {
+bool CrashGuard::AddReport(const CrashReport& report, std::string_view from) {
+  if (!ledger_.AddReport(report, clock_.Now())) {
     return false;
   }
   const CrashAssessment assessment = ledger_.Assess(report.request);
@@ -205,21 +206,21 @@
 }
 
 std::vector<CrashReport> CrashGuard::TakeNews() {
-  return std::exchange(news_, {});
+  return std::exchange(outgoing_, {});
 }
 
 void CrashGuard::Tick() {
   const TimePoint now = clock_.Now();
-  if (now < forget_due_) {
+  if (now < next_forget_) {
     return;
   }
-  forget_due_ = now + kForgetPeriod;
-  ledger_.Forget(now);
-  std::erase_if(unreachable_, [this](uint64_t server) {
-    return !ledger_.CountsLossOf(server);
+  next_forget_ = now + kForgetPeriod;
+  ledger_.ForgetExpired(now);
+  std::erase_if(unreachable_servers_,
+                [this](uint64_t server) { return !ledger_.HasLossOf(server); });
+  std::erase_if(last_reminders_, [this](const auto& item) {
+    return !ledger_.IsKnown(item.first);
   });
-  std::erase_if(
-      told_, [this](const auto& item) { return !ledger_.Knows(item.first); });
 }
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/crash/crash_guard.h
+++ b/lavenderkeel/crash/crash_guard.h
@@ -17,50 +17,51 @@
 
 namespace lavenderkeel {
 
-/// Whether a request may go to a server now.
+/// Whether a request may be sent to a server now.
 struct CrashDecision {
   enum class Kind {
     kRun,
-    /// Until the run of an equal request shows more, it is this entry's turn,
-    /// or the entry knows what others know.
+    /// Wait until the run of an equal request has a result, this entry's trial
+    /// interval begins, or the entry has received the evidence of others.
     kWait,
     kRefuse,
   };
 
   Kind kind = Kind::kRun;
   CrashAssessment assessment;
-  /// When a refused request may come back.
+  /// When the caller may retry a refused request.
   Duration retry_after{};
 
   friend bool operator==(const CrashDecision&, const CrashDecision&) = default;
 };
 
-/// Keeps requests that end the servers that run them from reaching more.
+/// Keeps poison requests from reaching more servers.
 ///
-/// Failure: a request ends each server that begins to run it, and comes again.
-/// Symptom: one server after another is lost, with all that runs there, for as
-/// long as it comes. Nothing that a single sending shows tells it from the
-/// requests beside it; what equal requests met before, at all entries, does.
-/// Innocent ones are cleared by their next answer, and until then run apart
-/// from each other, so that none is lost for another's sake twice.
+/// A request that crashes each server that starts to run it, and is sent again,
+/// takes down one server after another with everything that runs there. A
+/// single sending doesn't tell it from the requests that run beside it, but the
+/// losses under equal requests at all entries do. Harmless requests are cleared
+/// by their next answer; until then they run apart from each other, so that
+/// none is lost twice because of another.
 class CrashGuard {
  public:
   struct Options {
     CrashLedger::Options ledger;
-    /// Entries that may let the same request run do so this far apart: what one
-    /// run shows is known everywhere before the next.
-    Duration turn = std::chrono::seconds(1);
-    /// Entries that come later still share the last turn.
-    size_t most_turns = 8;
-    /// An entry that has just started waits so long for what another knows.
-    Duration join_patience = std::chrono::milliseconds(500);
-    /// Others are told this often that a blocked request still comes.
-    Duration tell_again = std::chrono::minutes(2);
+    /// Time between the runs of the same request at different entries: the
+    /// result of one run is known everywhere before the next.
+    Duration trial_interval = std::chrono::seconds(1);
+    /// Entries with a higher rank share the last interval.
+    size_t max_rank = 8;
+    /// How long an entry that has just started waits for the evidence of
+    /// another.
+    Duration join_timeout = std::chrono::milliseconds(500);
+    /// How often other entries are reminded of a blocked request.
+    Duration remind_period = std::chrono::minutes(2);
     /// Retry-After of a request that waits for an equal one.
     Duration retry_after = std::chrono::seconds(1);
   };
 
-  /// How many entries have their turn at a request before this one.
+  /// The number of entries that may try the request before this one.
   using Rank = std::function<size_t(RequestFingerprint)>;
 
   CrashGuard(
@@ -70,60 +71,62 @@
       Metrics& metrics,
       Rank rank = [](RequestFingerprint) { return size_t{0}; });
 
-  /// Nothing runs until another entry has told what it knows, or for the join
-  /// patience.
+  /// Runs no request until another entry has sent its evidence or join_timeout
+  /// has passed.
   void Join();
-  /// @param equal_runs an equal request of this entry is at a server or in line
-  ///     for one; asked only if it matters
+  /// @param equal_runs whether an equal request of this entry is at a server or
+  ///     queued for one; called only if it matters
   CrashDecision Decide(RequestFingerprint request,
                        const std::function<bool()>& equal_runs);
-  /// It goes to a server, as was decided.
+  /// The request was sent to a server, as decided.
   void OnSent(RequestFingerprint request);
-  /// How much speaks against the request.
+  /// The suspicion against the request.
   CrashStanding StandingOf(RequestFingerprint request) const {
     return ledger_.Assess(request).standing;
   }
-  /// It came in, at this entry.
+  /// The request arrived at this entry.
   void OnArrival(RequestFingerprint request);
 
   /// The server was lost while it had the request.
   void OnServerLost(RequestFingerprint request,
                     uint64_t server,
                     TimePoint sent);
-  /// The server answered something that was sent to it at that time.
+  /// The server answered a request that was sent to it at `sent`.
   void OnServerAnswered(uint64_t server, TimePoint sent);
-  /// It accepted no connection: a later answer is its successor's.
+  /// The server accepted no connection: a later answer comes from its restarted
+  /// successor.
   void OnServerUnreachable(uint64_t server);
   /// A server ran the request to its end.
   void OnSurvived(RequestFingerprint request);
 
-  /// From another entry.
-  /// @param pass_on what is new is for others too
+  /// Takes evidence from another entry.
+  /// @param pass_on whether new evidence is forwarded to other entries
   void OnNews(const CrashNews& news, bool pass_on);
-  /// What others are to hear of since the last call.
+  /// The reports for other entries since the last call.
   std::vector<CrashReport> TakeNews();
   std::vector<CrashReport> All() const { return ledger_.All(); }
   void Tick();
 
  private:
-  struct Wish {
-    /// The first one that could have been granted, or the first again after a
-    /// turn passed unused.
+  struct PendingTrial {
+    /// When the trial first became possible, or became possible again after an
+    /// unused interval.
     TimePoint since;
-    /// The CrashAssessment::next_run that it waits behind.
+    /// The CrashAssessment::next_run that the trial waits for.
     TimePoint next_run;
   };
 
-  bool Joining() const;
-  /// Several servers were lost under it: entries run it one after the other.
-  bool RunsInTurns(const CrashAssessment& assessment) const {
-    return assessment.lost >= options_.ledger.blocked_at;
+  bool IsJoining() const;
+  /// Whether several servers were lost under the request, so that entries run
+  /// it one after the other.
+  bool RunsSequentially(const CrashAssessment& assessment) const {
+    return assessment.lost >= options_.ledger.blocked_at_losses;
   }
-  /// From when on this entry may run it, unless another does before.
-  TimePoint TurnOf(RequestFingerprint request,
-                   const CrashAssessment& assessment);
-  bool Learn(const CrashReport& report, std::string_view from);
-  void LearnHere(const CrashReport& report);
+  /// When this entry may run the request, unless another entry runs it before.
+  TimePoint TrialTime(RequestFingerprint request,
+                      const CrashAssessment& assessment);
+  bool AddReport(const CrashReport& report, std::string_view from);
+  void AddLocalReport(const CrashReport& report);
 
   Options options_;
   const Clock& clock_;
@@ -131,15 +134,15 @@
   Metrics& metrics_;
   Rank rank_;
   CrashLedger ledger_;
-  std::vector<CrashReport> news_;
+  std::vector<CrashReport> outgoing_;
   /// Servers with a counted loss that have accepted no connection since.
-  std::set<uint64_t> unreachable_;
-  /// When others were told last that the request still comes.
-  std::unordered_map<RequestFingerprint, TimePoint> told_;
-  TimePoint forget_due_;
+  std::set<uint64_t> unreachable_servers_;
+  /// When other entries were last reminded of the request.
+  std::unordered_map<RequestFingerprint, TimePoint> last_reminders_;
+  TimePoint next_forget_;
   std::optional<TimePoint> joining_since_;
-  /// Requests that this entry would run if it were its turn.
-  std::unordered_map<RequestFingerprint, Wish> wishes_;
+  /// Requests that this entry would run if its trial interval had begun.
+  std::unordered_map<RequestFingerprint, PendingTrial> pending_trials_;
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/crash/crash_ledger.cc
+++ b/lavenderkeel/crash/crash_ledger.cc
@@ -4,28 +4,28 @@
 
 namespace lavenderkeel {
 
-bool CrashLedger::Learn(const CrashReport& report, TimePoint now) {
+bool CrashLedger::AddReport(const CrashReport& report, TimePoint now) {
   switch (report.kind) {
     case CrashReport::Kind::kLost:
-      if (!LearnLoss(report)) {
+      if (!AddLoss(report)) {
         return false;
       }
       requests_.at(report.request).seen = now;
-      MakeRoom();
+      EvictExcess();
       return true;
     case CrashReport::Kind::kSurvived:
-      return LearnSurvival(report);
+      return AddSurvival(report);
     case CrashReport::Kind::kServerLives:
-      return LearnServerLives(report);
+      return AddServerAlive(report);
     case CrashReport::Kind::kComesAgain:
-      return LearnArrival(report);
+      return AddArrival(report);
     case CrashReport::Kind::kTried:
-      return LearnTrial(report);
+      return AddTrial(report);
   }
   return false;
 }
 
-bool CrashLedger::LearnArrival(const CrashReport& report) {
+bool CrashLedger::AddArrival(const CrashReport& report) {
   const auto found = requests_.find(report.request);
   if (found == requests_.end() || found->second.seen >= report.ended) {
     return false;
@@ -34,7 +34,7 @@
   return true;
 }
 
-bool CrashLedger::LearnTrial(const CrashReport& report) {
+bool CrashLedger::AddTrial(const CrashReport& report) {
   const auto found = requests_.find(report.request);
   if (found == requests_.end()) {
     return false;
@@ -47,9 +47,9 @@
   return true;
 }
 
-bool CrashLedger::LearnLoss(const CrashReport& report) {
-  const auto alive = alive_.find(report.server);
-  if (alive != alive_.end() && alive->second >= report.ended) {
+bool CrashLedger::AddLoss(const CrashReport& report) {
+  const auto alive = alive_until_.find(report.server);
+  if (alive != alive_until_.end() && alive->second >= report.ended) {
     return false;
   }
   Request& request = requests_[report.request];
@@ -65,22 +65,22 @@
   losses.insert(
       after,
       {.server = report.server, .sent = report.sent, .ended = report.ended});
-  Count(report.server);
-  if (losses.size() > options_.most_losses) {
-    // One that adds nothing to the count in turn, else the oldest.
-    const std::vector<size_t> in_turn = InTurn(losses);
+  CountLoss(report.server);
+  if (losses.size() > options_.max_losses) {
+    // Drops a loss that doesn't add to the sequential count, else the oldest.
+    const std::vector<size_t> in_turn = SequentialLosses(losses);
     size_t spare = 0;
     while (spare < in_turn.size() && in_turn[spare] == spare) {
       ++spare;
     }
     const size_t dropped = spare < losses.size() ? spare : 0;
-    Uncount(losses[dropped].server);
+    UncountLoss(losses[dropped].server);
     losses.erase(losses.begin() + static_cast<ptrdiff_t>(dropped));
   }
   return true;
 }
 
-bool CrashLedger::LearnSurvival(const CrashReport& report) {
+bool CrashLedger::AddSurvival(const CrashReport& report) {
   const auto found = requests_.find(report.request);
   if (found == requests_.end()) {
     return false;
@@ -97,15 +97,15 @@
   std::erase_if(request.losses, [&](const Loss& loss) {
     const bool before = loss.ended <= report.ended;
     if (before) {
-      Uncount(loss.server);
+      UncountLoss(loss.server);
     }
     return before;
   });
   return true;
 }
 
-bool CrashLedger::LearnServerLives(const CrashReport& report) {
-  if (!CountsLossOf(report.server)) {
+bool CrashLedger::AddServerAlive(const CrashReport& report) {
+  if (!HasLossOf(report.server)) {
     return false;
   }
   bool changed = false;
@@ -114,12 +114,12 @@
       return loss.server == report.server && loss.ended < report.sent;
     });
     for (size_t i = 0; i < voided; ++i) {
-      Uncount(report.server);
+      UncountLoss(report.server);
     }
     changed = changed || voided > 0;
   }
   if (changed) {
-    alive_[report.server] = report.sent;
+    alive_until_[report.server] = report.sent;
   }
   return changed;
 }
@@ -138,8 +138,9 @@
   return all;
 }
 
-std::vector<size_t> CrashLedger::InTurn(const std::vector<Loss>& losses) {
-  // Taking whatever ends first leaves the most room for the rest.
+std::vector<size_t> CrashLedger::SequentialLosses(
+    const std::vector<Loss>& losses) {
+  // Greedy choice by earliest end gives the largest set.
   std::vector<size_t> in_turn;
   for (size_t i = 0; i < losses.size(); ++i) {
     if (in_turn.empty() || losses[i].sent > losses[in_turn.back()].ended) {
@@ -158,43 +159,44 @@
   const TimePoint last = losses.back().ended;
   CrashAssessment assessment = {.standing = CrashStanding::kSuspect,
                                 .lost = losses.size(),
-                                .in_turn = InTurn(losses).size(),
+                                .in_turn = SequentialLosses(losses).size(),
                                 .next_run = last};
-  if (assessment.in_turn >= options_.blocked_at) {
+  if (assessment.in_turn >= options_.blocked_at_losses) {
     assessment.standing = CrashStanding::kBlocked;
-    const bool retested =
-        assessment.in_turn >= options_.blocked_at + options_.retests;
-    assessment.next_run = retested ? found->second.seen + options_.forget_after
-                                   : last + options_.first_retest;
-  } else if (assessment.in_turn + 1 >= options_.blocked_at ||
-             assessment.lost >= options_.blocked_at) {
+    const bool retests_used_up =
+        assessment.in_turn >= options_.blocked_at_losses + options_.max_retests;
+    assessment.next_run = retests_used_up
+                              ? found->second.seen + options_.forget_after
+                              : last + options_.retest_delay;
+  } else if (assessment.in_turn + 1 >= options_.blocked_at_losses ||
+             assessment.lost >= options_.blocked_at_losses) {
     assessment.standing = CrashStanding::kDoubtful;
   }
   const std::optional<TimePoint>& tried = found->second.tried;
   if (tried.has_value() && *tried > last) {
     assessment.next_run =
-        std::max(assessment.next_run, *tried + options_.trial_patience);
+        std::max(assessment.next_run, *tried + options_.trial_timeout);
   }
   return assessment;
 }
 
-void CrashLedger::Uncount(uint64_t server) {
-  const auto found = servers_.find(server);
+void CrashLedger::UncountLoss(uint64_t server) {
+  const auto found = loss_counts_.find(server);
   if (--found->second == 0) {
-    servers_.erase(found);
+    loss_counts_.erase(found);
   }
 }
 
 void CrashLedger::Erase(Requests::iterator request) {
   for (const Loss& loss : request->second.losses) {
-    Uncount(loss.server);
+    UncountLoss(loss.server);
   }
   requests_.erase(request);
 }
 
-void CrashLedger::MakeRoom() {
-  while (requests_.size() > options_.most_requests) {
-    // What is blocked is kept for as long as there is anything else.
+void CrashLedger::EvictExcess() {
+  while (requests_.size() > options_.max_requests) {
+    // Blocked requests are evicted last.
     Erase(std::ranges::min_element(requests_, {}, [this](const auto& item) {
       const bool blocked =
           Assess(item.first).standing == CrashStanding::kBlocked;
@@ -203,14 +205,14 @@
   }
 }
 
-void CrashLedger::Forget(TimePoint now) {
+void CrashLedger::ForgetExpired(TimePoint now) {
   for (auto request = requests_.begin(); request != requests_.end();) {
     const auto current = request++;
     if (now - current->second.seen > options_.forget_after) {
       Erase(current);
     }
   }
-  std::erase_if(alive_, [&](const auto& item) {
+  std::erase_if(alive_until_, [&](const auto& item) {
     return now - item.second > options_.forget_after;
   });
 }
--- a/lavenderkeel/crash/crash_ledger.h
+++ b/lavenderkeel/crash/crash_ledger.h
@@ -17,62 +17,65 @@
   CrashStanding standing = CrashStanding::kClear;
   /// Servers lost under the request since a server last answered it.
   size_t lost = 0;
-  /// Those of them that it was sent to after the one before was lost.
+  /// Those of them whose run began after the previous loss.
   size_t in_turn = 0;
-  /// When a single run may show whether it still holds; for kDoubtful and
-  /// kBlocked only.
+  /// When a single run may test the request again; meaningful for
+  /// kDoubtful and kBlocked only.
   TimePoint next_run;
 
   friend bool operator==(const CrashAssessment&,
                          const CrashAssessment&) = default;
 };
 
-/// What is known of servers that were lost, by the requests that they ran.
+/// The record of lost servers by the requests that they ran.
 ///
-/// Losses count only until a server answers the request, which one that ends
-/// its servers never reaches: an equal request that is harmless is cleared by
-/// its next answer. Runs that overlap in time count once, since whatever ended
-/// one server at that moment may have ended the others. A loss is void if the
-/// server answers what is sent to it afterwards: then connections to it had
-/// broken, not the server.
+/// Losses count only until a server answers the request. A poison request is
+/// never answered, and a harmless equal request is cleared by its next answer.
+/// Runs that overlap in time count once, since one cause may have ended all
+/// their servers at that moment. A loss is void if the server answers a request
+/// that was sent to it afterwards: then connections had broken and not the
+/// server.
 ///
-/// Whoever shares reports with others has the same assessment as they have.
+/// Entries that share their reports come to the same assessment.
 class CrashLedger {
  public:
   struct Options {
-    /// Servers lost in turn under which a request is blocked.
-    size_t blocked_at = 3;
-    /// A blocked request may run once more this long after the last loss. The
+    /// Sequential losses at which a request is blocked.
+    size_t blocked_at_losses = 3;
+    /// A blocked request may run once more this long after the last loss: the
     /// cause may be gone, or the servers may have ended for another reason.
-    Duration first_retest = std::chrono::seconds(60);
-    /// So often it may; then it is blocked until it is forgotten.
-    size_t retests = 1;
-    /// What a run shows is awaited this long before another may begin.
-    Duration trial_patience = std::chrono::seconds(8);
-    /// A request that nobody sends any more is forgotten after this time.
+    Duration retest_delay = std::chrono::seconds(60);
+    /// The number of such runs; after them the request stays blocked until it
+    /// is forgotten.
+    size_t max_retests = 1;
+    /// How long the result of a trial run is awaited before another may begin.
+    Duration trial_timeout = std::chrono::seconds(8);
+    /// A request that has not arrived for this long is forgotten.
     Duration forget_after = std::chrono::minutes(10);
-    /// Of these the one that was last seen longest ago is forgotten first.
-    size_t most_requests = 4096;
-    /// Losses that are kept of one request.
-    size_t most_losses = 8;
+    /// Above this many requests the one that arrived longest ago is evicted.
+    size_t max_requests = 4096;
+    /// The number of losses kept per request.
+    size_t max_losses = 8;
   };
 
   CrashLedger() = default;
   explicit CrashLedger(const Options& options) : options_(options) {}
 
-  /// Takes a report of this entry or another.
-  /// @return whether it says something new
-  bool Learn(const CrashReport& report, TimePoint now);
-  /// Everything that is known, for an entry that knows nothing.
+  /// Adds a report of this entry or another.
+  /// @return whether the report changed the ledger
+  bool AddReport(const CrashReport& report, TimePoint now);
+  /// All losses, for an entry that has just started.
   std::vector<CrashReport> All() const;
 
   CrashAssessment Assess(RequestFingerprint request) const;
-  bool Knows(RequestFingerprint request) const {
+  bool IsKnown(RequestFingerprint request) const {
     return requests_.contains(request);
   }
-  /// A loss of that server's incarnation is counted.
-  bool CountsLossOf(uint64_t server) const { return servers_.contains(server); }
-  void Forget(TimePoint now);
+  /// Whether a loss of this server's incarnation is counted.
+  bool HasLossOf(uint64_t server) const {
+    return loss_counts_.contains(server);
+  }
+  void ForgetExpired(TimePoint now);
   size_t size() const { return requests_.size(); }
 
  private:
@@ -82,35 +85,35 @@
     TimePoint ended;
   };
   struct Request {
-    /// By the time of the loss.
+    /// Sorted by the time of the loss.
     std::vector<Loss> losses;
-    /// The end of the last run that it survived.
+    /// The end of the last run that a server survived.
     std::optional<TimePoint> survived;
-    /// When the last run that is to show something began.
+    /// When the last trial run began.
     std::optional<TimePoint> tried;
     TimePoint seen;
   };
   using Requests = std::unordered_map<RequestFingerprint, Request>;
 
-  bool LearnLoss(const CrashReport& report);
-  bool LearnSurvival(const CrashReport& report);
-  bool LearnServerLives(const CrashReport& report);
-  bool LearnTrial(const CrashReport& report);
-  bool LearnArrival(const CrashReport& report);
-  /// Positions of the losses in turn: the largest set that don't overlap.
-  static std::vector<size_t> InTurn(const std::vector<Loss>& losses);
-  void Count(uint64_t server) { ++servers_[server]; }
-  void Uncount(uint64_t server);
+  bool AddLoss(const CrashReport& report);
+  bool AddSurvival(const CrashReport& report);
+  bool AddServerAlive(const CrashReport& report);
+  bool AddTrial(const CrashReport& report);
+  bool AddArrival(const CrashReport& report);
+  /// Indices of the sequential losses: the largest set that doesn't overlap.
+  static std::vector<size_t> SequentialLosses(const std::vector<Loss>& losses);
+  void CountLoss(uint64_t server) { ++loss_counts_[server]; }
+  void UncountLoss(uint64_t server);
   void Erase(Requests::iterator request);
-  void MakeRoom();
+  void EvictExcess();
 
   Options options_;
   Requests requests_;
-  /// How many losses are kept of each server.
-  std::unordered_map<uint64_t, size_t> servers_;
-  /// Servers that were seen alive after a loss, and until when; so that a late
-  /// report of that loss doesn't bring it back.
-  std::map<uint64_t, TimePoint> alive_;
+  /// The number of losses kept per server.
+  std::unordered_map<uint64_t, size_t> loss_counts_;
+  /// The latest time at which a server was found alive after a loss, so that a
+  /// late report of that loss is ignored.
+  std::map<uint64_t, TimePoint> alive_until_;
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/crash/crash_report.h
+++ b/lavenderkeel/crash/crash_report.h
@@ -8,28 +8,28 @@
 
 namespace lavenderkeel {
 
-/// One thing that an entry saw of servers that end and of the requests that
-/// they ran. Times are the reader's; what crosses between entries are ages.
+/// One observation of an entry about lost servers and the requests that they
+/// ran. Times are those of the local clock; entries exchange ages.
 struct CrashReport {
   enum class Kind : uint8_t {
     /// The server was lost while it had the request, from `sent` to `ended`.
     kLost = 0,
     /// A server ran the request and answered it; the run ended at `ended`.
     kSurvived = 1,
-    /// The server answered something that was sent at `sent`: it had not ended
-    /// before, only connections to it had.
+    /// The server answered a request that was sent at `sent`, so it had not
+    /// ended before; only connections to it had broken.
     kServerLives = 2,
-    /// The request still comes, last at `ended`.
+    /// The request still arrives, last at `ended`.
     kComesAgain = 3,
-    /// An entry lets one run of it, from `sent` on, show whether servers still
-    /// end under it.
+    /// An entry started a trial run at `sent` to test whether the request still
+    /// crashes servers.
     kTried = 4,
   };
 
   Kind kind = Kind::kLost;
   /// Zero for kServerLives.
   RequestFingerprint request = 0;
-  /// Hash of the server's incarnation, for kLost and kServerLives.
+  /// Hash of the server's incarnation; set for kLost and kServerLives.
   uint64_t server = 0;
   TimePoint sent;
   TimePoint ended;
--- a/lavenderkeel/crash/crash_standing.h
+++ b/lavenderkeel/crash/crash_standing.h
@@ -5,15 +5,16 @@
 
 namespace lavenderkeel {
 
-/// How much speaks for a request ending the servers that run it.
+/// The suspicion that a request crashes the servers that run it.
 enum class CrashStanding : uint8_t {
-  /// Nothing.
+  /// No server was lost under it.
   kClear = 0,
-  /// A server was lost under it, as under whatever else ran there.
+  /// One server was lost under it, as under all other requests that ran there.
   kSuspect = 1,
-  /// Two were, one after the other, or several at the same time.
+  /// Two servers were lost one after the other, or several at the same time.
   kDoubtful = 2,
-  /// Three were, each after the one before: it is taken for the cause.
+  /// Three servers were lost one after the other: the request is taken for the
+  /// cause.
   kBlocked = 3,
 };
 
--- a/lavenderkeel/crash/crash_wire.h
+++ b/lavenderkeel/crash/crash_wire.h
@@ -9,14 +9,14 @@
 
 namespace lavenderkeel {
 
-/// Reports as they cross between entries, whose clocks differ: times become
-/// ages and back.
+/// Encodes reports for other entries. Their clocks differ, so times become
+/// ages.
 ///
-/// @param complete all that this entry knows
+/// @param complete whether these are all reports of this entry
 CrashNews ToWire(const std::vector<CrashReport>& reports,
                  bool complete,
                  TimePoint now);
-/// Reports of a kind that is not known here are left out.
+/// Reports of an unknown kind are skipped.
 std::vector<CrashReport> FromWire(const CrashNews& news, TimePoint now);
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/crash/request_fingerprint.cc
+++ b/lavenderkeel/crash/request_fingerprint.cc
@@ -5,8 +5,8 @@
 namespace lavenderkeel {
 
 RequestFingerprint FingerprintOf(const RequestIdentity& identity) {
-  // Each hash is the seed of the next, so that no byte can move from one part
-  // to its neighbour.
+  // Each hash is the seed of the next, so that moving a byte between adjacent
+  // parts changes the result.
   uint64_t hash = 0;
   for (const std::string_view part :
        {identity.team, identity.method, identity.host, identity.target,
--- a/lavenderkeel/crash/request_fingerprint.h
+++ b/lavenderkeel/crash/request_fingerprint.h
@@ -6,16 +6,16 @@
 
 namespace lavenderkeel {
 
-/// Equal for requests that ask a server for the same thing, whichever their id
-/// and wherever they came in.
+/// A hash that is equal for requests that ask a server for the same thing,
+/// whatever their id and wherever they arrived.
 using RequestFingerprint = uint64_t;
 
-/// What a server is asked for, and on whose behalf.
+/// The parts of a request that identify it.
 struct RequestIdentity {
   std::string_view team;
   std::string_view method;
   std::string_view host;
-  /// With the query.
+  /// Path and query.
   std::string_view target;
   std::string_view body;
 };
--- a/test/crash/crash_guard_test.cc
+++ b/test/crash/crash_guard_test.cc
@@ -19,8 +19,8 @@
           return rank;
         }) {}
 
-  /// The request ends so many servers, one after the other.
-  void Lose(int servers) {
+  /// Lets the request crash this many servers, one after the other.
+  void LoseServers(int servers) {
     for (int i = 0; i < servers; ++i) {
       const TimePoint sent = clock.Now();
       clock.Advance(milliseconds(50));
@@ -39,7 +39,7 @@
   uint64_t last_server = 0;
 };
 
-void Tell(Harness& from, Harness& to) {
+void SendReports(Harness& from, Harness& to) {
   to.guard.OnNews(
       ToWire(from.guard.TakeNews(), /*complete=*/false, from.clock.Now()),
       /*pass_on=*/false);
@@ -47,18 +47,22 @@
 
 }  // namespace
 
+// Guards against a doubtful request that runs beside an equal one, so that both
+// could crash a server.
 BOOST_AUTO_TEST_CASE(DoubtfulRequestRunsAlone) {
   Harness harness;
-  harness.Lose(1);
+  harness.LoseServers(1);
   BOOST_CHECK(harness.Decide(/*equal_runs=*/true) == Kind::kRun);
-  harness.Lose(1);
+  harness.LoseServers(1);
   BOOST_CHECK(harness.Decide(/*equal_runs=*/true) == Kind::kWait);
   BOOST_CHECK(harness.Decide() == Kind::kRun);
 }
 
-BOOST_AUTO_TEST_CASE(BlockedRequestIsToldWhenToComeBack) {
+// Guards against a blocked request that callers retry at once, or that is never
+// tested again.
+BOOST_AUTO_TEST_CASE(RefusalOfABlockedRequestHasARetryDelay) {
   Harness harness;
-  harness.Lose(3);
+  harness.LoseServers(3);
   const CrashDecision decision =
       harness.guard.Decide(kRequest, [] { return false; });
   BOOST_CHECK(decision.kind == Kind::kRefuse);
@@ -69,40 +73,43 @@
   BOOST_CHECK(harness.Decide(/*equal_runs=*/true) == Kind::kRun);
 }
 
-// Guards against: all entries that test a blocked request at the same moment.
+// Guards against entries that all test a blocked request at the same moment.
 BOOST_AUTO_TEST_CASE(EntriesTestABlockedRequestInTurn) {
   Harness harness(/*rank=*/2);
-  harness.Lose(3);
+  harness.LoseServers(3);
   harness.clock.Advance(seconds(61));
   BOOST_CHECK(harness.Decide() == Kind::kRefuse);
   harness.clock.Advance(seconds(2));
   BOOST_CHECK(harness.Decide() == Kind::kRun);
 }
 
-// Guards against: entries that each let a run show what one run shows.
-BOOST_AUTO_TEST_CASE(OthersWaitForWhatATrialShows) {
+// Guards against entries that each lose a server to learn what one trial run
+// shows.
+BOOST_AUTO_TEST_CASE(OtherEntriesWaitForATrialResult) {
   Harness first;
   Harness other(/*rank=*/1);
-  first.Lose(3);
+  first.LoseServers(3);
   other.clock.Set(first.clock.Now());
-  Tell(first, other);
+  SendReports(first, other);
   for (Harness* harness : {&first, &other}) {
     harness->clock.Advance(seconds(61));
   }
   BOOST_CHECK(first.Decide() == Kind::kRun);
   BOOST_CHECK(other.Decide() == Kind::kRefuse);
   first.guard.OnSent(kRequest);
-  Tell(first, other);
+  SendReports(first, other);
   other.clock.Advance(seconds(2));
   BOOST_CHECK(other.Decide() == Kind::kRefuse);
-  // It showed nothing; the next may try.
+  // The trial has no result; the next entry may try.
   other.clock.Advance(seconds(7));
   BOOST_CHECK(other.Decide() == Kind::kRefuse);
   other.clock.Advance(seconds(1));
   BOOST_CHECK(other.Decide() == Kind::kRun);
 }
 
-BOOST_AUTO_TEST_CASE(EntryThatJoinsWaitsForTheOthers) {
+// Guards against an entry that runs poison requests before it has the evidence
+// of the others.
+BOOST_AUTO_TEST_CASE(JoiningEntryWaitsForEvidence) {
   Harness harness;
   harness.guard.Join();
   BOOST_CHECK(harness.Decide() == Kind::kWait);
@@ -114,11 +121,11 @@
   BOOST_CHECK(harness.Decide() == Kind::kRun);
 }
 
-// Guards against: the answer of a server that started again under its id, taken
-// for that of the one that was lost.
-BOOST_AUTO_TEST_CASE(ServerThatAcceptedNoConnectionDoesNotLiveOn) {
+// Guards against an answer of a restarted server that is taken for one of its
+// lost incarnation with the same id.
+BOOST_AUTO_TEST_CASE(AnswerOfARestartedServerDoesNotVoidTheLoss) {
   Harness harness;
-  harness.Lose(3);
+  harness.LoseServers(3);
   harness.guard.OnServerUnreachable(3);
   harness.clock.Advance(seconds(2));
   harness.guard.OnServerAnswered(3, harness.clock.Now());
@@ -126,19 +133,19 @@
   BOOST_CHECK(harness.guard.StandingOf(kRequest) == CrashStanding::kDoubtful);
 }
 
-// Guards against: a request that is forgotten where it does not come, and comes
-// there again.
-BOOST_AUTO_TEST_CASE(OthersHearThatABlockedRequestStillComes) {
+// Guards against forgetting a blocked request at entries where it doesn't
+// arrive at present, but may arrive again.
+BOOST_AUTO_TEST_CASE(ArrivalOfABlockedRequestIsReported) {
   Harness harness;
-  harness.Lose(3);
+  harness.LoseServers(3);
   harness.guard.TakeNews();
   harness.guard.OnArrival(kRequest);
   BOOST_TEST(harness.guard.TakeNews().empty());
   harness.clock.Advance(std::chrono::minutes(3));
   harness.guard.OnArrival(kRequest);
-  const std::vector<CrashReport> news = harness.guard.TakeNews();
-  BOOST_REQUIRE(news.size() == 1U);
-  BOOST_CHECK(news.front().kind == CrashReport::Kind::kComesAgain);
+  const std::vector<CrashReport> reports = harness.guard.TakeNews();
+  BOOST_REQUIRE(reports.size() == 1U);
+  BOOST_CHECK(reports.front().kind == CrashReport::Kind::kComesAgain);
 }
 
 }  // namespace lavenderkeel
--- a/test/crash/crash_ledger_test.cc
+++ b/test/crash/crash_ledger_test.cc
@@ -30,121 +30,129 @@
       .kind = Kind::kSurvived, .request = kRequest, .ended = kStart + ended};
 }
 
-CrashReport Lives(uint64_t server, Duration sent) {
+CrashReport ServerLives(uint64_t server, Duration sent) {
   return {.kind = Kind::kServerLives,
           .server = server,
           .sent = kStart + sent,
           .ended = kStart + sent};
 }
 
-/// Three losses in turn, a second apart.
-CrashLedger Blocked() {
+/// A ledger with three sequential losses, one second apart.
+CrashLedger MakeBlockedLedger() {
   CrashLedger ledger;
   for (uint64_t i = 0; i < 3; ++i) {
-    ledger.Learn(Lost(i + 1, seconds(i), seconds(i) + milliseconds(50)),
-                 kStart + seconds(i));
+    ledger.AddReport(Lost(i + 1, seconds(i), seconds(i) + milliseconds(50)),
+                     kStart + seconds(i));
   }
   return ledger;
 }
 
 }  // namespace
 
+// Guards against a poison request that is never blocked.
 BOOST_AUTO_TEST_CASE(LossesInTurnBlockARequest) {
   CrashLedger ledger;
   BOOST_CHECK(ledger.Assess(kRequest).standing == CrashStanding::kClear);
-  ledger.Learn(Lost(1, seconds(0), milliseconds(50)), kStart);
+  ledger.AddReport(Lost(1, seconds(0), milliseconds(50)), kStart);
   BOOST_CHECK(ledger.Assess(kRequest).standing == CrashStanding::kSuspect);
-  ledger.Learn(Lost(2, seconds(1), milliseconds(1050)), kStart);
+  ledger.AddReport(Lost(2, seconds(1), milliseconds(1050)), kStart);
   BOOST_CHECK(ledger.Assess(kRequest).standing == CrashStanding::kDoubtful);
-  ledger.Learn(Lost(3, seconds(2), milliseconds(2050)), kStart);
+  ledger.AddReport(Lost(3, seconds(2), milliseconds(2050)), kStart);
   BOOST_CHECK(ledger.Assess(kRequest).standing == CrashStanding::kBlocked);
 }
 
-// Guards against: a kind of request that runs everywhere, blamed for servers
-// that end together.
-BOOST_AUTO_TEST_CASE(LossesAtOneMomentCountOnce) {
+// Guards against blaming a request that runs everywhere for servers that end
+// together.
+BOOST_AUTO_TEST_CASE(OverlappingLossesCountOnce) {
   CrashLedger ledger;
   for (uint64_t server = 1; server <= 6; ++server) {
-    ledger.Learn(Lost(server, milliseconds(0), milliseconds(100 + server)),
-                 kStart);
+    ledger.AddReport(Lost(server, milliseconds(0), milliseconds(100 + server)),
+                     kStart);
   }
   const CrashAssessment assessment = ledger.Assess(kRequest);
   BOOST_TEST(assessment.in_turn == 1U);
   BOOST_CHECK(assessment.standing == CrashStanding::kDoubtful);
 }
 
+// Guards against a harmless request that stays under suspicion after a server
+// answered it.
 BOOST_AUTO_TEST_CASE(AnswerClearsEarlierLosses) {
-  CrashLedger ledger = Blocked();
-  BOOST_TEST(ledger.Learn(Survived(seconds(5)), kStart + seconds(5)));
+  CrashLedger ledger = MakeBlockedLedger();
+  BOOST_TEST(ledger.AddReport(Survived(seconds(5)), kStart + seconds(5)));
   BOOST_CHECK(ledger.Assess(kRequest).standing == CrashStanding::kClear);
-  // A report of such a loss that comes late changes nothing.
-  BOOST_TEST(!ledger.Learn(Lost(9, seconds(3), seconds(4)), kStart));
-  BOOST_TEST(ledger.Learn(Lost(9, seconds(6), seconds(7)), kStart));
+  // A late report of a loss before the answer changes nothing.
+  BOOST_TEST(!ledger.AddReport(Lost(9, seconds(3), seconds(4)), kStart));
+  BOOST_TEST(ledger.AddReport(Lost(9, seconds(6), seconds(7)), kStart));
 }
 
-// Guards against: a cut of connections that is taken for the end of a server.
+// Guards against broken connections that are taken for the end of a server.
 BOOST_AUTO_TEST_CASE(LossIsVoidIfTheServerAnswersLater) {
-  CrashLedger ledger = Blocked();
-  BOOST_TEST(!ledger.Learn(Lives(3, seconds(2)), kStart));
+  CrashLedger ledger = MakeBlockedLedger();
+  BOOST_TEST(!ledger.AddReport(ServerLives(3, seconds(2)), kStart));
   BOOST_CHECK(ledger.Assess(kRequest).standing == CrashStanding::kBlocked);
-  BOOST_TEST(ledger.Learn(Lives(3, seconds(3)), kStart + seconds(3)));
+  BOOST_TEST(ledger.AddReport(ServerLives(3, seconds(3)), kStart + seconds(3)));
   BOOST_CHECK(ledger.Assess(kRequest).standing == CrashStanding::kDoubtful);
-  BOOST_TEST(!ledger.CountsLossOf(3));
-  BOOST_TEST(!ledger.Learn(Lost(3, seconds(2), seconds(2) + milliseconds(50)),
-                           kStart));
+  BOOST_TEST(!ledger.HasLossOf(3));
+  BOOST_TEST(!ledger.AddReport(
+      Lost(3, seconds(2), seconds(2) + milliseconds(50)), kStart));
 }
 
+// Guards against counting one lost server once per entry that reports it.
 BOOST_AUTO_TEST_CASE(SameLossFromSeveralEntriesCountsOnce) {
   CrashLedger ledger;
-  BOOST_TEST(ledger.Learn(Lost(1, seconds(0), seconds(1)), kStart));
+  BOOST_TEST(ledger.AddReport(Lost(1, seconds(0), seconds(1)), kStart));
   BOOST_TEST(
-      !ledger.Learn(Lost(1, milliseconds(3), milliseconds(1003)), kStart));
+      !ledger.AddReport(Lost(1, milliseconds(3), milliseconds(1003)), kStart));
   BOOST_TEST(ledger.Assess(kRequest).lost == 1U);
 }
 
+// Guards against a request that stays blocked after its cause is gone, and
+// against one that is tested without end.
 BOOST_AUTO_TEST_CASE(BlockedRequestIsTestedOnceMore) {
-  CrashLedger ledger = Blocked();
+  CrashLedger ledger = MakeBlockedLedger();
   const TimePoint last = kStart + seconds(2) + milliseconds(50);
   BOOST_CHECK(ledger.Assess(kRequest).next_run == last + seconds(60));
-  ledger.Learn(Lost(4, seconds(70), seconds(71)), kStart + seconds(71));
+  ledger.AddReport(Lost(4, seconds(70), seconds(71)), kStart + seconds(71));
   BOOST_CHECK(ledger.Assess(kRequest).next_run > kStart + minutes(10));
 }
 
-BOOST_AUTO_TEST_CASE(RequestIsForgottenOnceItStaysAway) {
-  CrashLedger ledger = Blocked();
+// Guards against forgetting a blocked request that still arrives, and against
+// keeping one that does not.
+BOOST_AUTO_TEST_CASE(RequestIsForgottenWithoutArrivals) {
+  CrashLedger ledger = MakeBlockedLedger();
   const TimePoint seen = kStart + minutes(8);
-  BOOST_TEST(ledger.Learn(
+  BOOST_TEST(ledger.AddReport(
       {.kind = Kind::kComesAgain, .request = kRequest, .ended = seen}, seen));
-  ledger.Forget(kStart + minutes(12));
+  ledger.ForgetExpired(kStart + minutes(12));
   BOOST_CHECK(ledger.Assess(kRequest).standing == CrashStanding::kBlocked);
-  ledger.Forget(seen + minutes(10) + seconds(1));
+  ledger.ForgetExpired(seen + minutes(10) + seconds(1));
   BOOST_TEST(ledger.size() == 0U);
-  BOOST_TEST(!ledger.CountsLossOf(1));
+  BOOST_TEST(!ledger.HasLossOf(1));
 }
 
-// Guards against: memory that grows with the requests of lost servers.
-BOOST_AUTO_TEST_CASE(LedgerKeepsWhatIsBlockedWithinItsBound) {
-  CrashLedger ledger({.most_requests = 10});
-  for (const CrashReport& report : Blocked().All()) {
-    ledger.Learn(report, kStart);
+// Guards against memory that grows with the requests of lost servers.
+BOOST_AUTO_TEST_CASE(BlockedRequestsAreEvictedLast) {
+  CrashLedger ledger({.max_requests = 10});
+  for (const CrashReport& report : MakeBlockedLedger().All()) {
+    ledger.AddReport(report, kStart);
   }
   for (uint64_t i = 1; i <= 100; ++i) {
-    ledger.Learn(Lost(1000 + i, seconds(10), seconds(11), 1000 + i),
-                 kStart + seconds(11) + milliseconds(i));
+    ledger.AddReport(Lost(1000 + i, seconds(10), seconds(11), 1000 + i),
+                     kStart + seconds(11) + milliseconds(i));
   }
   BOOST_TEST(ledger.size() == 10U);
   BOOST_CHECK(ledger.Assess(kRequest).standing == CrashStanding::kBlocked);
   for (uint64_t i = 0; i < 100; ++i) {
     const Duration sent = seconds(20 + i);
-    ledger.Learn(Lost(5000 + i, sent, sent + milliseconds(50)),
-                 kStart + sent + seconds(1));
+    ledger.AddReport(Lost(5000 + i, sent, sent + milliseconds(50)),
+                     kStart + sent + seconds(1));
   }
   BOOST_TEST(ledger.Assess(kRequest).lost == 8U);
 }
 
-// Guards against: an entry that takes another's clock for its own.
-BOOST_AUTO_TEST_CASE(ReportsCrossBetweenEntriesAsAges) {
-  const std::vector<CrashReport> reports = Blocked().All();
+// Guards against taking another entry's clock for the local one.
+BOOST_AUTO_TEST_CASE(ReportsAreExchangedAsAges) {
+  const std::vector<CrashReport> reports = MakeBlockedLedger().All();
   const TimePoint sent_at = kStart + seconds(10);
   const Duration other_clock = std::chrono::hours(5);
   const CrashNews news = ToWire(reports, /*complete=*/true, sent_at);
--- a/test/crash/request_fingerprint_test.cc
+++ b/test/crash/request_fingerprint_test.cc
@@ -5,7 +5,8 @@
 
 namespace lavenderkeel {
 
-BOOST_AUTO_TEST_CASE(EachPartOfARequestTellsItFromOthers) {
+// Guards against equal fingerprints of different requests.
+BOOST_AUTO_TEST_CASE(EachPartChangesTheFingerprint) {
   const RequestIdentity request = {.team = "board",
                                    .method = "POST",
                                    .host = "h",
