--- a/lavenderkeel/claim.h
+++ b/lavenderkeel/claim.h
@@ -1,4 +1,4 @@
-// Module claim: which entry owns a request key.
+// Module claim: decides which entry owns a request key.
 #ifndef LAVENDERKEEL_CLAIM_H_
 #define LAVENDERKEEL_CLAIM_H_
 
--- a/lavenderkeel/claim/claim.h
+++ b/lavenderkeel/claim/claim.h
@@ -10,33 +10,37 @@
 
 namespace lavenderkeel {
 
-/// What the platform has to do with a claim. The values are on the wire.
+/// How far the platform takes part in deciding a claim. The values are on the
+/// wire.
 enum class ClaimStanding : uint8_t {
-  /// Nothing, or it gave the key to the owner.
+  /// The platform is not involved, or granted the key to the owner.
   kPlain = 0,
-  /// It has still to decide.
+  /// The decision of the platform is pending.
   kTentative = 1,
-  /// It did not give the key to the owner.
+  /// The platform did not grant the key to the owner.
   kRefused = 2,
 };
 
-/// Reads the value of a message; what is not known is not confirmed.
+/// Converts a value from a message; unknown values become kRefused, so that the
+/// claim does not count as confirmed.
 inline ClaimStanding ToClaimStanding(uint8_t value) {
   return static_cast<ClaimStanding>(
       std::min(value, static_cast<uint8_t>(ClaimStanding::kRefused)));
 }
 
-/// A request key given to one entry incarnation. The key belongs to its team by
-/// itself, see CallerApi.
+/// Assignment of a request key to one entry incarnation. Keys are already
+/// specific to a team, see CallerApi.
 struct Claim {
   PeerId owner;
-  /// Of the request as sent; the same key with another body is refused.
+  /// Hash of the body as sent; a request with the same key and another body is
+  /// refused.
   uint64_t body_hash = 0;
-  /// The agents that the owner may send the request to; after its death they
-  /// are asked whether they have it.
+  /// The agents that the owner may send the request to. After the death of the
+  /// owner they are asked whether they have the request.
   std::vector<PeerId> agents;
-  /// The holder could vouch that it was the first. Otherwise an earlier claim
-  /// may exist elsewhere, and "no agent of this one has it" proves nothing.
+  /// The holder vouched that this is the first claim. Otherwise an earlier
+  /// claim may exist elsewhere, and the request may have run even if no agent
+  /// of this claim has it.
   bool confirmed = false;
   ClaimStanding standing = ClaimStanding::kPlain;
 
--- a/lavenderkeel/claim/claim_table.cc
+++ b/lavenderkeel/claim/claim_table.cc
@@ -6,13 +6,13 @@
 
 ClaimTable::ClaimTable(Options options,
                        const Clock& clock,
-                       MetEveryClaim met,
+                       MetEveryClaim knows_every_claim,
                        CoverageOf coverage_of)
     : options_(options),
       clock_(clock),
-      met_(std::move(met)),
+      knows_every_claim_(std::move(knows_every_claim)),
       coverage_of_(std::move(coverage_of)),
-      blind_until_(clock.WallNow()) {}
+      claims_complete_since_(clock.WallNow()) {}
 
 HolderCoverage ClaimTable::CoverageFor(const RequestKey& key) const {
   return coverage_of_ ? coverage_of_(key) : HolderCoverage::kFull;
@@ -24,108 +24,113 @@
   const HolderCoverage coverage = CoverageFor(key);
   const auto found = claims_.find(key);
   if (found != claims_.end()) {
-    Held& held = found->second;
-    if (held.body_hash != wanted.body_hash ||
-        !MayTake(held, wanted, replaces)) {
+    StoredClaim& stored = found->second;
+    if (stored.body_hash != wanted.body_hash ||
+        !CanReassign(stored, wanted, replaces)) {
       return {.granted = false,
               .vouched = false,
-              .claim = Unpack(held),
+              .claim = Unpack(stored),
               .coverage = coverage};
     }
-    Answer answer = Renew(held, wanted);
+    Answer answer = UpdateClaim(stored, wanted);
     answer.coverage = coverage;
     return answer;
   }
-  const bool vouched = Vouches(key);
-  // Failure: a claim that the platform has still to decide counts as the first,
-  // its owner is refused and dies. Symptom: whoever takes it over starts the
-  // key a second time. It is confirmed by its owner, once it has the word.
-  const bool decided = wanted.confirmed || coverage == HolderCoverage::kFull;
+  const bool vouched = CanVouchFor(key);
+  // A claim that awaits the platform's decision is not confirmed here. If the
+  // platform refuses the owner and the owner dies, the entry that takes over a
+  // confirmed claim would start the request a second time. The owner confirms
+  // the claim once the platform has granted the key.
+  const bool is_decided = wanted.confirmed || coverage == HolderCoverage::kFull;
   const ClaimStanding standing =
-      decided ? wanted.standing
-              : std::max(wanted.standing, ClaimStanding::kTentative);
-  const bool first = vouched && standing == ClaimStanding::kPlain;
-  Held held{.owner = peers_.Take(wanted.owner),
-            .body_hash = wanted.body_hash,
-            .agents = {},
-            .confirmed = first || wanted.confirmed,
-            .standing = standing};
-  AddAgents(held, wanted.agents);
-  const Claim kept = Unpack(held);
-  claims_.emplace(key, held);
+      is_decided ? wanted.standing
+                 : std::max(wanted.standing, ClaimStanding::kTentative);
+  const bool is_first = vouched && standing == ClaimStanding::kPlain;
+  StoredClaim stored{.owner = peers_.Acquire(wanted.owner),
+                     .body_hash = wanted.body_hash,
+                     .agents = {},
+                     .confirmed = is_first || wanted.confirmed,
+                     .standing = standing};
+  AddAgents(stored, wanted.agents);
+  const Claim stored_claim = Unpack(stored);
+  claims_.emplace(key, stored);
   by_age_.emplace_back(clock_.Now(), key);
   if (claims_.size() > options_.capacity) {
     DropOldest();
   }
   return {.granted = true,
           .vouched = vouched,
-          .claim = kept,
+          .claim = stored_claim,
           .coverage = coverage,
           .changed = true};
 }
 
-bool ClaimTable::MayTake(const Held& held,
-                         const Claim& wanted,
-                         const PeerId& replaces) const {
-  const PeerId& owner = peers_.Get(held.owner);
+bool ClaimTable::CanReassign(const StoredClaim& stored,
+                             const Claim& wanted,
+                             const PeerId& replaces) const {
+  const PeerId& owner = peers_.Get(stored.owner);
   if (owner == wanted.owner) {
     return true;
   }
-  // Failure: between another's look at the claim and its take-over the owner,
-  // cut off from it but alive, adds agents. Symptom: they were not asked, and
-  // the key is started at one of them and by its new owner. That one looks
+  // The owner may be alive but cut off from the entry that takes the claim
+  // over, and may add agents after that entry has read the claim. Those agents
+  // were not asked, so the request would be started both at one of them and by
+  // the new owner. The take-over is refused, and the entry reads the claim
   // again.
-  const bool all_asked =
-      std::ranges::all_of(held.agents, [&](const PeerPool::Index agent) {
+  const bool all_agents_asked =
+      std::ranges::all_of(stored.agents, [&](const PeerPool::Index agent) {
         return std::ranges::find(wanted.agents, peers_.Get(agent)) !=
                wanted.agents.end();
       });
-  return owner == replaces && all_asked;
+  return owner == replaces && all_agents_asked;
 }
 
-ClaimTable::Answer ClaimTable::Renew(Held& held, const Claim& wanted) {
-  const bool refused = wanted.standing == ClaimStanding::kRefused;
-  const bool confirmed = (held.confirmed || wanted.confirmed) && !refused;
-  const bool renewed =
-      peers_.Get(held.owner) != wanted.owner || held.confirmed != confirmed;
-  if (confirmed || refused) {
-    held.standing = refused ? ClaimStanding::kRefused : ClaimStanding::kPlain;
+ClaimTable::Answer ClaimTable::UpdateClaim(StoredClaim& stored,
+                                           const Claim& wanted) {
+  const bool is_refused = wanted.standing == ClaimStanding::kRefused;
+  const bool confirmed = (stored.confirmed || wanted.confirmed) && !is_refused;
+  const bool is_updated =
+      peers_.Get(stored.owner) != wanted.owner || stored.confirmed != confirmed;
+  if (confirmed || is_refused) {
+    stored.standing =
+        is_refused ? ClaimStanding::kRefused : ClaimStanding::kPlain;
   }
-  const PeerPool::Index former = held.owner;
-  held.owner = peers_.Take(wanted.owner);
-  peers_.Release(former);
-  const bool has_more_agents = AddAgents(held, wanted.agents);
-  held.confirmed = confirmed;
+  const PeerPool::Index former_owner = stored.owner;
+  stored.owner = peers_.Acquire(wanted.owner);
+  peers_.Release(former_owner);
+  const bool has_more_agents = AddAgents(stored, wanted.agents);
+  stored.confirmed = confirmed;
   return {.granted = true,
-          .vouched = held.confirmed,
-          .claim = Unpack(held),
-          .changed = renewed || has_more_agents};
+          .vouched = stored.confirmed,
+          .claim = Unpack(stored),
+          .changed = is_updated || has_more_agents};
 }
 
-Claim ClaimTable::Unpack(const Held& held) const {
-  Claim claim{.owner = peers_.Get(held.owner),
-              .body_hash = held.body_hash,
+Claim ClaimTable::Unpack(const StoredClaim& stored) const {
+  Claim claim{.owner = peers_.Get(stored.owner),
+              .body_hash = stored.body_hash,
               .agents = {},
-              .confirmed = held.confirmed,
-              .standing = held.standing};
-  claim.agents.reserve(held.agents.size());
-  for (const PeerPool::Index agent : held.agents) {
+              .confirmed = stored.confirmed,
+              .standing = stored.standing};
+  claim.agents.reserve(stored.agents.size());
+  for (const PeerPool::Index agent : stored.agents) {
     claim.agents.push_back(peers_.Get(agent));
   }
   return claim;
 }
 
-bool ClaimTable::AddAgents(Held& held, const std::vector<PeerId>& agents) {
-  const size_t before = held.agents.size();
+bool ClaimTable::AddAgents(StoredClaim& stored,
+                           const std::vector<PeerId>& agents) {
+  const size_t before = stored.agents.size();
   for (const PeerId& agent : agents) {
-    const PeerPool::Index index = peers_.Take(agent);
-    if (std::ranges::find(held.agents, index) == held.agents.end()) {
-      held.agents.push_back(index);
+    const PeerPool::Index index = peers_.Acquire(agent);
+    if (std::ranges::find(stored.agents, index) == stored.agents.end()) {
+      stored.agents.push_back(index);
     } else {
       peers_.Release(index);
     }
   }
-  return held.agents.size() > before;
+  return stored.agents.size() > before;
 }
 
 void ClaimTable::Erase(const RequestKey& key) {
@@ -148,28 +153,30 @@
             .coverage = CoverageFor(key)};
   }
   return {.granted = true,
-          .vouched = Vouches(key),
+          .vouched = CanVouchFor(key),
           .claim = {},
           .coverage = CoverageFor(key)};
 }
 
-bool ClaimTable::Vouches(const RequestKey& key) const {
-  // Failure: this entry started, woke or forgot after the key was first sent;
-  // the claim made then is not here. Symptom: "unused" for a used key, a second
-  // run. Keys carry when they were first sent, so such keys are recognised; the
-  // skew covers callers whose clock runs ahead.
+bool ClaimTable::CanVouchFor(const RequestKey& key) const {
+  // An earlier claim may be missing here if this entry started, was frozen or
+  // dropped claims after the key was first sent; calling such a key unused
+  // would run the request a second time. The key carries the time when it was
+  // first sent, which reveals the case; the skew covers callers whose clock
+  // runs ahead.
   const WallTime oldest =
-      std::max(blind_until_, clock_.WallNow() - options_.retention);
-  return key.first_sent() > oldest + options_.clock_skew && met_(key);
+      std::max(claims_complete_since_, clock_.WallNow() - options_.retention);
+  return key.first_sent() > oldest + options_.clock_skew &&
+         knows_every_claim_(key);
 }
 
 void ClaimTable::CannotVouchUntilNow() {
-  blind_until_ = std::max(blind_until_, clock_.WallNow());
+  claims_complete_since_ = std::max(claims_complete_since_, clock_.WallNow());
 }
 
 void ClaimTable::Tick() {
-  // A key whose claim is dropped here is past the retention, so Vouches() says
-  // no for it from then on.
+  // A key whose claim is dropped here is older than the retention time, so
+  // CanVouchFor() returns false for it from then on.
   const TimePoint oldest = clock_.Now() - options_.retention;
   while (!by_age_.empty() && by_age_.front().first < oldest) {
     Erase(by_age_.front().second);
@@ -178,7 +185,7 @@
 }
 
 void ClaimTable::DropOldest() {
-  // A claim dropped early may be that of any key up to now.
+  // The dropped claim may belong to any key first sent before now.
   CannotVouchUntilNow();
   Erase(by_age_.front().second);
   by_age_.pop_front();
--- a/lavenderkeel/claim/claim_table.h
+++ b/lavenderkeel/claim/claim_table.h
@@ -15,74 +15,81 @@
 
 namespace lavenderkeel {
 
-/// The claims that this entry holds for others and for itself.
+/// Claims that this entry stores for itself and for other entries.
 class ClaimTable {
  public:
   struct Options {
-    /// How long a claim is kept, and so how late a retry may come.
+    /// How long a claim is kept, which bounds how late a retry may arrive.
     Duration retention = std::chrono::minutes(10);
     size_t capacity = 100'000;
-    /// Between any two calendar clocks.
+    /// Maximum difference between any two calendar clocks.
     Duration clock_skew = std::chrono::seconds(1);
   };
 
   struct Answer {
     bool granted = false;
-    /// Nobody can have claimed the key before without this entry knowing.
+    /// No entry can have claimed the key before without the knowledge of this
+    /// entry.
     bool vouched = false;
-    /// The claim now held.
+    /// The claim that is now stored.
     Claim claim;
-    /// How much this entry's view of the holders covers.
+    /// How much of the holders this entry's view covers.
     HolderCoverage coverage = HolderCoverage::kFull;
-    /// The request brought something that was not held here before.
+    /// The request added information that was not stored here before.
     bool changed = false;
 
     friend bool operator==(const Answer&, const Answer&) = default;
   };
 
-  /// True if this entry ranks so that every claim on the key came here.
+  /// Returns true if the rank of this entry ensures that every claim on the key
+  /// was sent to it.
   using MetEveryClaim = std::function<bool(const RequestKey&)>;
 
-  /// What the holders of a key that can be asked know together.
+  /// Returns what the reachable holders of a key know together.
   using CoverageOf = std::function<HolderCoverage(const RequestKey&)>;
 
-  /// @param coverage_of empty: always HolderCoverage::kFull
+  /// @param coverage_of if empty, always HolderCoverage::kFull
   ClaimTable(Options options,
              const Clock& clock,
-             MetEveryClaim met,
+             MetEveryClaim knows_every_claim,
              CoverageOf coverage_of = nullptr);
 
-  /// Gives the key to the wanted owner, unless another has it.
+  /// Grants the key to the wanted owner unless another entry owns it.
   ///
-  /// @param replaces an owner whose claim may be taken over, since the agents
-  ///     in `wanted` refuse its later starts; no others may be in the claim
+  /// @param replaces an owner whose claim may be reassigned because the agents
+  ///     in `wanted` refuse its later starts; the claim must contain no other
+  ///     agents
   Answer Request(const RequestKey& key,
                  const Claim& wanted,
                  const PeerId& replaces);
 
-  /// Like Request, but records nothing.
+  /// Like Request, but changes nothing.
   Answer Lookup(const RequestKey& key) const;
 
-  /// For keys sent up to now this entry can't vouch any more: it started just
-  /// now, was cut off or frozen, or had to drop claims.
+  /// Makes this entry vouch only for keys first sent after now, since it has
+  /// just started, was cut off or frozen, or had to drop claims.
   void CannotVouchUntilNow();
 
-  /// Drops claims past the retention.
+  /// Drops claims older than the retention time.
   void Tick();
 
-  /// Calls with every claim, for the hand-over of a leaving entry.
+  /// Calls `visit` with every claim, for the hand-over by a leaving entry.
   void ForEach(
       const std::function<void(const RequestKey&, const Claim&)>& visit) const;
 
-  bool Vouches(const RequestKey& key) const;
-  /// When a key first sent now, by the slowest clock, can be vouched for.
-  WallTime vouches_from() const { return blind_until_ + options_.clock_skew; }
+  bool CanVouchFor(const RequestKey& key) const;
+  /// From this time on this entry can vouch for new keys, also those dated by
+  /// the slowest clock.
+  WallTime vouches_from() const {
+    return claims_complete_since_ + options_.clock_skew;
+  }
   size_t size() const { return claims_.size(); }
   const Options& options() const { return options_; }
 
  private:
-  /// A claim as it is kept: a fleet's names repeat in every one of them.
-  struct Held {
+  /// A claim in its stored form, with indexes in place of instance names: the
+  /// names of a fleet are the same in every claim.
+  struct StoredClaim {
     PeerPool::Index owner = 0;
     uint64_t body_hash = 0;
     std::vector<PeerPool::Index> agents;
@@ -90,25 +97,25 @@
     ClaimStanding standing = ClaimStanding::kPlain;
   };
 
-  Claim Unpack(const Held& held) const;
+  Claim Unpack(const StoredClaim& stored) const;
   HolderCoverage CoverageFor(const RequestKey& key) const;
-  /// Brings a claim up to what its owner, or its successor, wants.
-  Answer Renew(Held& held, const Claim& wanted);
-  /// True if the claim may be given to the wanted owner.
-  bool MayTake(const Held& held,
-               const Claim& wanted,
-               const PeerId& replaces) const;
-  /// @return true if any of them was not in the claim
-  bool AddAgents(Held& held, const std::vector<PeerId>& agents);
+  /// Updates a claim to the request of its owner or the successor of its owner.
+  Answer UpdateClaim(StoredClaim& stored, const Claim& wanted);
+  /// Returns true if the claim may be assigned to the wanted owner.
+  bool CanReassign(const StoredClaim& stored,
+                   const Claim& wanted,
+                   const PeerId& replaces) const;
+  /// @return true if the claim lacked any of the agents
+  bool AddAgents(StoredClaim& stored, const std::vector<PeerId>& agents);
   void Erase(const RequestKey& key);
   void DropOldest();
 
   Options options_;
   const Clock& clock_;
-  MetEveryClaim met_;
+  MetEveryClaim knows_every_claim_;
   CoverageOf coverage_of_;
-  WallTime blind_until_;
-  std::unordered_map<RequestKey, Held, RequestKeyHash> claims_;
+  WallTime claims_complete_since_;
+  std::unordered_map<RequestKey, StoredClaim, RequestKeyHash> claims_;
   PeerPool peers_;
   std::deque<std::pair<TimePoint, RequestKey>> by_age_;
 };
--- a/lavenderkeel/claim/claimer.cc
+++ b/lavenderkeel/claim/claimer.cc
@@ -22,160 +22,168 @@
                     bool lookup,
                     Done done) {
   const uint64_t call = ++last_call_;
-  processes_[call] = {.key = key,
-                      .wanted = wanted,
-                      .replaces = replaces,
-                      .lookup = lookup,
-                      .done = std::move(done),
-                      .holders = {},
-                      .verdict = {}};
-  Run(call);
+  operations_[call] = {.key = key,
+                       .wanted = wanted,
+                       .replaces = replaces,
+                       .lookup = lookup,
+                       .done = std::move(done),
+                       .holders = {},
+                       .result = {}};
+  Continue(call);
 }
 
-bool Claimer::Begin(Process& process) {
-  // Failure: an entry that has just started claims a key at the holders that it
-  // has met so far. Symptom: the others, which it meets later, can't vouch for
-  // anything older, and all callers of that second hear "unknown". It claims
-  // nothing before it has met all, so that nobody has missed a claim of it.
+bool Claimer::ChooseHolders(Operation& operation) {
+  // If an entry that has just started claimed keys only at the holders that it
+  // has connected to so far, the other holders could not vouch for older keys,
+  // and all callers of that second would get "unknown". The entry claims
+  // nothing before it has connected to all entries, so that none of them has
+  // missed a claim.
   if (!hooks_.may_claim()) {
     return false;
   }
-  process.begun = true;
-  process.holders = ranking_.Holders(process.key);
-  process.verdict.coverage = ranking_.Coverage(process.key);
-  if (process.lookup) {
+  operation.holders_chosen = true;
+  operation.holders = ranking_.Holders(operation.key);
+  operation.result.coverage = ranking_.Coverage(operation.key);
+  if (operation.lookup) {
     return true;
   }
   hooks_.on_claim();
-  if (process.verdict.coverage != HolderCoverage::kFull &&
-      !process.wanted.confirmed &&
-      process.wanted.standing == ClaimStanding::kPlain) {
-    process.wanted.standing = ClaimStanding::kTentative;
+  if (operation.result.coverage != HolderCoverage::kFull &&
+      !operation.wanted.confirmed &&
+      operation.wanted.standing == ClaimStanding::kPlain) {
+    operation.wanted.standing = ClaimStanding::kTentative;
   }
   return true;
 }
 
-void Claimer::Run(uint64_t call) {
-  const auto found = processes_.find(call);
-  if (found == processes_.end() || !Advance(call, found->second)) {
+void Claimer::Continue(uint64_t call) {
+  const auto found = operations_.find(call);
+  if (found == operations_.end() || !Advance(call, found->second)) {
     return;
   }
-  Process process = std::move(found->second);
-  processes_.erase(found);
-  Conclude(process);
-  process.done(process.key, process.verdict);
+  Operation operation = std::move(found->second);
+  operations_.erase(found);
+  ComputeResult(operation);
+  operation.done(operation.key, operation.result);
 }
 
-bool Claimer::Advance(uint64_t call, Process& process) {
-  if (!process.begun && !Begin(process)) {
+bool Claimer::Advance(uint64_t call, Operation& operation) {
+  if (!operation.holders_chosen && !ChooseHolders(operation)) {
     return false;
   }
-  while (process.next < process.holders.size()) {
-    const std::string& holder = process.holders[process.next];
+  while (operation.next_holder < operation.holders.size()) {
+    const std::string& holder = operation.holders[operation.next_holder];
     if (holder == members_.self().id.instance) {
       const ClaimTable::Answer answer =
-          process.lookup ? own_table_.Lookup(process.key)
-                         : own_table_.Request(process.key, process.wanted,
-                                              process.replaces);
-      if (Take(process, answer)) {
+          operation.lookup ? own_table_.Lookup(operation.key)
+                           : own_table_.Request(operation.key, operation.wanted,
+                                                operation.replaces);
+      if (ApplyAnswer(operation, answer)) {
         return true;
       }
       continue;
     }
     const Member* member = members_.Find(holder);
     if (member == nullptr) {
-      process.verdict.coverage = HolderCoverage::kNone;
-      ++process.next;
+      operation.result.coverage = HolderCoverage::kNone;
+      ++operation.next_holder;
       continue;
     }
     if (member->lost) {
-      // Lost while we were asking: Conclude() counts it.
-      ++process.next;
+      // The holder was lost meanwhile; ComputeResult() takes that into account.
+      ++operation.next_holder;
       continue;
     }
-    if (!member->outbound.has_value() || process.asked) {
+    if (!member->outbound.has_value() || operation.request_sent) {
       return false;
     }
-    Send(call, process, *member->outbound);
-    process.asked = true;
+    SendRequest(call, operation, *member->outbound);
+    operation.request_sent = true;
     return false;
   }
   return true;
 }
 
-void Claimer::Send(uint64_t call, const Process& process, LinkId link) {
+void Claimer::SendRequest(uint64_t call,
+                          const Operation& operation,
+                          LinkId link) {
   ClaimRequest request;
-  request.key = ToWire(process.key);
+  request.key = ToWire(operation.key);
   request.call = call;
-  request.lookup = process.lookup;
-  request.replaces_instance = process.replaces.instance;
-  request.replaces_incarnation = process.replaces.incarnation;
-  PutClaim(process.wanted, request);
+  request.lookup = operation.lookup;
+  request.replaces_instance = operation.replaces.instance;
+  request.replaces_incarnation = operation.replaces.incarnation;
+  PutClaim(operation.wanted, request);
   outbox_.Send(link, std::move(request));
 }
 
-bool Claimer::Take(Process& process, const ClaimTable::Answer& answer) {
-  const std::string& holder = process.holders[process.next];
-  process.asked = false;
-  ++process.next;
-  process.verdict.coverage = Lesser(process.verdict.coverage, answer.coverage);
+bool Claimer::ApplyAnswer(Operation& operation,
+                          const ClaimTable::Answer& answer) {
+  const std::string& holder = operation.holders[operation.next_holder];
+  operation.request_sent = false;
+  ++operation.next_holder;
+  operation.result.coverage =
+      LesserCoverage(operation.result.coverage, answer.coverage);
   if (answer.granted) {
-    process.verdict.vouched |= answer.vouched;
-    process.verdict.witnessed |=
-        answer.vouched && ranking_.RanksBesideLost(holder, process.key);
+    operation.result.vouched |= answer.vouched;
+    operation.result.witnessed |=
+        answer.vouched && ranking_.RanksBesideLost(holder, operation.key);
     return false;
   }
-  if (process.lookup && answer.claim.owner == process.replaces) {
+  if (operation.lookup && answer.claim.owner == operation.replaces) {
     return false;
   }
   const bool undecided =
       !answer.claim.confirmed && answer.claim.standing != ClaimStanding::kPlain;
-  if (undecided && !process.lookup) {
-    // Failure: an entry that is cut from the other holder claims the key here
-    // and waits for the platform; we are not cut off, so that the other holder
-    // vouches. Symptom: the key is started for both. Whoever meets such a claim
-    // goes to the platform too.
-    process.verdict.contested = true;
-    process.verdict.coverage =
-        Lesser(process.verdict.coverage, HolderCoverage::kPlatformDecides);
+  if (undecided && !operation.lookup) {
+    // Another entry that is cut off from the other holder has claimed the key
+    // here and waits for the platform. The other holder, which this entry can
+    // reach, vouches for the key, so the request would be started by both. An
+    // entry that finds such a claim asks the platform too.
+    operation.result.contested = true;
+    operation.result.coverage = LesserCoverage(
+        operation.result.coverage, HolderCoverage::kPlatformDecides);
     return false;
   }
-  // Failure: an entry is granted the key by a holder that lost its state, then
-  // learns from the other of the earlier claim, and dies. Symptom: its claim
-  // hides the earlier one, and the key runs again. A claim that its holder
-  // could not vouch for does not end the asking.
-  process.verdict.claim = answer.claim;
-  process.verdict.kind = ClaimVerdict::Kind::kHeld;
+  // A holder that lost its state may have granted the key to an entry that then
+  // learnt of an earlier claim from the other holder, and died. That claim must
+  // not hide the earlier one, or the request runs again: a claim that its
+  // holder could not vouch for does not end the search.
+  operation.result.claim = answer.claim;
+  operation.result.kind = ClaimVerdict::Kind::kHeld;
   return answer.claim.confirmed;
 }
 
-void Claimer::Conclude(Process& process) const {
-  ClaimVerdict& verdict = process.verdict;
-  verdict.coverage = Lesser(verdict.coverage, ranking_.Coverage(process.key));
-  const bool held = verdict.kind == ClaimVerdict::Kind::kHeld;
-  // Failure: two entries that started together don't know each other yet, and
-  // one of them vouches although the other's claims don't come to it. Symptom:
-  // both run the key. A claim of an entry that is not known here shows that the
-  // view is too small to vouch on.
+void Claimer::ComputeResult(Operation& operation) const {
+  ClaimVerdict& result = operation.result;
+  result.coverage =
+      LesserCoverage(result.coverage, ranking_.Coverage(operation.key));
+  const bool is_held = result.kind == ClaimVerdict::Kind::kHeld;
+  // Two entries that started together may not know each other yet, and one of
+  // them vouches although it does not receive the other's claims; both would
+  // run the request. A claim of an unknown entry shows that this view is too
+  // small to vouch from.
   const bool owner_unknown =
-      held && verdict.claim.owner != members_.self().id &&
-      members_.Find(verdict.claim.owner.instance) == nullptr;
-  if (!(held && verdict.claim.confirmed) && !owner_unknown && verdict.vouched) {
-    // A holder that met every claim met none before ours.
-    verdict.kind = ClaimVerdict::Kind::kOurs;
+      is_held && result.claim.owner != members_.self().id &&
+      members_.Find(result.claim.owner.instance) == nullptr;
+  if (!(is_held && result.claim.confirmed) && !owner_unknown &&
+      result.vouched) {
+    // A holder that knows of every claim knew of none before this one.
+    result.kind = ClaimVerdict::Kind::kOurs;
   }
 }
 
 void Claimer::OnReply(LinkId link, const ClaimReply& reply) {
-  const auto found = processes_.find(reply.call);
+  const auto found = operations_.find(reply.call);
   const Member* member = members_.FindByLink(link);
-  if (found == processes_.end() || member == nullptr) {
+  if (found == operations_.end() || member == nullptr) {
     return;
   }
-  Process& process = found->second;
+  Operation& operation = found->second;
   const bool expected =
-      process.asked && process.next < process.holders.size() &&
-      process.holders[process.next] == member->info.id.instance;
+      operation.request_sent &&
+      operation.next_holder < operation.holders.size() &&
+      operation.holders[operation.next_holder] == member->info.id.instance;
   if (!expected) {
     return;
   }
@@ -183,24 +191,25 @@
                                   .vouched = reply.vouched,
                                   .claim = TakeClaim(reply),
                                   .coverage = ToHolderCoverage(reply.coverage)};
-  if (Take(process, answer)) {
-    process.next = process.holders.size();
+  if (ApplyAnswer(operation, answer)) {
+    operation.next_holder = operation.holders.size();
   }
-  Run(reply.call);
+  Continue(reply.call);
 }
 
 void Claimer::OnLost(const PeerId& peer) {
   std::vector<uint64_t> waiting;
-  for (auto& [call, process] : processes_) {
-    const bool waits_for_it = process.next < process.holders.size() &&
-                              process.holders[process.next] == peer.instance;
-    if (waits_for_it) {
-      process.asked = false;
+  for (auto& [call, operation] : operations_) {
+    const bool waits_for_peer =
+        operation.next_holder < operation.holders.size() &&
+        operation.holders[operation.next_holder] == peer.instance;
+    if (waits_for_peer) {
+      operation.request_sent = false;
       waiting.push_back(call);
     }
   }
   for (const uint64_t call : waiting) {
-    Run(call);
+    Continue(call);
   }
 }
 
@@ -209,14 +218,14 @@
 }
 
 void Claimer::Tick() {
-  std::vector<uint64_t> unasked;
-  for (const auto& [call, process] : processes_) {
-    if (!process.asked) {
-      unasked.push_back(call);
+  std::vector<uint64_t> unsent;
+  for (const auto& [call, operation] : operations_) {
+    if (!operation.request_sent) {
+      unsent.push_back(call);
     }
   }
-  for (const uint64_t call : unasked) {
-    Run(call);
+  for (const uint64_t call : unsent) {
+    Continue(call);
   }
 }
 
--- a/lavenderkeel/claim/claimer.h
+++ b/lavenderkeel/claim/claimer.h
@@ -13,24 +13,25 @@
 
 namespace lavenderkeel {
 
-/// What the holders said together.
+/// Combined result of the answers of all holders.
 struct ClaimVerdict {
   enum class Kind {
-    /// The key is ours. See vouched, witnessed and coverage.
+    /// This entry owns the key. See vouched, witnessed and coverage.
     kOurs,
-    /// Another entry has it; `claim` says which.
+    /// Another entry owns the key; see `claim`.
     kHeld,
   };
 
   Kind kind = Kind::kOurs;
   /// At least one holder vouched that the key was unused.
   bool vouched = false;
-  /// One that vouched ranks beside every lost holder of the key.
+  /// A holder that vouched shares the key with each lost holder, see
+  /// HolderRanking::RanksBesideLost.
   bool witnessed = false;
-  /// The least of what this entry and the holders that answered cover. Below
-  /// kFull an entry that is cut off from here may have the key.
+  /// The lowest coverage of this entry and the holders that answered. Below
+  /// kFull, an entry that is cut off from this one may own the key.
   HolderCoverage coverage = HolderCoverage::kFull;
-  /// A holder has a claim of another entry on which the platform has the word.
+  /// A holder has a claim of another entry that the platform decides.
   bool contested = false;
   Claim claim;
 };
@@ -44,9 +45,10 @@
   using Done = std::function<void(const RequestKey&, const ClaimVerdict&)>;
 
   struct Hooks {
-    /// False while this entry has still to meet others: claims wait until then.
+    /// Returns false while this entry has not connected to all others yet;
+    /// claims wait until then.
     std::function<bool()> may_claim;
-    /// A claim is about to be made.
+    /// Called before a claim is made.
     std::function<void()> on_claim;
   };
 
@@ -56,9 +58,9 @@
           Outbox& outbox,
           Hooks hooks);
 
-  /// @param replaces an owner whose claim does not count: it may be taken over,
-  ///     see ClaimTable::Request, and is no news to a lookup
-  /// @param lookup ask only, claim nothing
+  /// @param replaces an owner whose claim does not count: it may be reassigned,
+  ///     see ClaimTable::Request, and a lookup ignores it
+  /// @param lookup only ask, claim nothing
   void Start(const RequestKey& key,
              const Claim& wanted,
              const PeerId& replaces,
@@ -66,40 +68,39 @@
              Done done);
 
   void OnReply(LinkId link, const ClaimReply& reply);
-  /// Goes on without a holder that was lost.
+  /// Continues without a holder that was lost.
   void OnLost(const PeerId& peer);
-  /// A link to a holder is up again: what was asked on the old one is asked
-  /// once more, since its answer may be gone.
+  /// Repeats the request to a holder whose link is up again: the answer to the
+  /// request on the old link may be lost.
   void OnUp(const PeerId& peer);
-  /// Retries holders that had no link.
+  /// Retries holders to which there was no link.
   void Tick();
 
-  size_t size() const { return processes_.size(); }
+  size_t size() const { return operations_.size(); }
 
  private:
-  struct Process {
+  struct Operation {
     RequestKey key;
     Claim wanted;
     PeerId replaces;
     bool lookup = false;
     Done done;
-    /// The holders are chosen.
-    bool begun = false;
+    bool holders_chosen = false;
     std::vector<std::string> holders;
-    size_t next = 0;
-    bool asked = false;
-    ClaimVerdict verdict;
+    size_t next_holder = 0;
+    bool request_sent = false;
+    ClaimVerdict result;
   };
 
-  /// Chooses the holders; false while that has to wait.
-  bool Begin(Process& process);
-  /// Asks holders until one has to be waited for; true when finished.
-  bool Advance(uint64_t call, Process& process);
-  void Run(uint64_t call);
-  bool Take(Process& process, const ClaimTable::Answer& answer);
-  void Send(uint64_t call, const Process& process, LinkId link);
-  /// What the answers come to once all holders were asked.
-  void Conclude(Process& process) const;
+  /// Chooses the holders; returns false while that has to wait.
+  bool ChooseHolders(Operation& operation);
+  /// Asks holders until one has to be waited for; returns true when finished.
+  bool Advance(uint64_t call, Operation& operation);
+  void Continue(uint64_t call);
+  bool ApplyAnswer(Operation& operation, const ClaimTable::Answer& answer);
+  void SendRequest(uint64_t call, const Operation& operation, LinkId link);
+  /// Computes the result once all holders were asked.
+  void ComputeResult(Operation& operation) const;
 
   ClaimTable& own_table_;
   const HolderRanking& ranking_;
@@ -107,7 +108,7 @@
   Outbox& outbox_;
   Hooks hooks_;
   uint64_t last_call_ = 0;
-  std::unordered_map<uint64_t, Process> processes_;
+  std::unordered_map<uint64_t, Operation> operations_;
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/claim/key_register.cc
+++ b/lavenderkeel/claim/key_register.cc
@@ -9,13 +9,13 @@
 
 namespace {
 
-constexpr std::string_view kObjects = "lavenderkeel/keys/";
+constexpr std::string_view kObjectPrefix = "lavenderkeel/keys/";
 
-std::string ObjectOf(const RequestKey& key) {
-  return std::string(kObjects) + key.ToString();
+std::string ObjectName(const RequestKey& key) {
+  return std::string(kObjectPrefix) + key.ToString();
 }
 
-std::string_view NameOf(KeyRegister::Decision decision) {
+std::string_view DecisionName(KeyRegister::Decision decision) {
   switch (decision) {
     case KeyRegister::Decision::kOurs:
       return "ours";
@@ -42,85 +42,89 @@
       log_(log),
       port_(port) {}
 
-std::string KeyRegister::Body() const {
+std::string KeyRegister::OwnerJson() const {
   return json::serialize(json::object{{"instance", self_.instance},
                                       {"incarnation", self_.incarnation}});
 }
 
 void KeyRegister::Decide(const RequestKey& key, Done done) {
   const TimePoint now = clock_.Now();
-  if (open_ >= options_.most_open || now < paused_until_) {
-    Tell(LogLevel::kWarning, key, now, Decision::kUndecided, done);
+  if (pending_keys_ >= options_.max_pending_keys || now < paused_until_) {
+    ReportDecision(LogLevel::kWarning, key, now, Decision::kUndecided, done);
     return;
   }
-  ++open_;
+  ++pending_keys_;
   port_.Call(
-      WriteObject(ObjectOf(key), Body(), "*"),
+      WriteObject(ObjectName(key), OwnerJson(), "*"),
       [this, key, now, done = std::move(done)](const PlatformReply& reply) {
         OnCreated(key, now, reply, done);
       });
 }
 
 void KeyRegister::OnCreated(const RequestKey& key,
-                            TimePoint asked,
+                            TimePoint requested_at,
                             const PlatformReply& reply,
                             const Done& done) {
   if (reply.precondition_failed()) {
-    ReadOwner(key, asked, done);
+    ReadOwner(key, requested_at, done);
     return;
   }
-  Finish(key, asked, reply.ok() ? Decision::kOurs : Decision::kUndecided, done);
+  Finish(key, requested_at, reply.ok() ? Decision::kOurs : Decision::kUndecided,
+         done);
 }
 
-void KeyRegister::ReadOwner(const RequestKey& key, TimePoint asked, Done done) {
-  port_.Call(
-      ReadObject(ObjectOf(key)),
-      [this, key, asked, done = std::move(done)](const PlatformReply& reply) {
-        const Decision found =
-            reply.body == Body() ? Decision::kOurs : Decision::kTaken;
-        Finish(key, asked, reply.ok() ? found : Decision::kUndecided, done);
-      });
+void KeyRegister::ReadOwner(const RequestKey& key,
+                            TimePoint requested_at,
+                            Done done) {
+  port_.Call(ReadObject(ObjectName(key)), [this, key, requested_at,
+                                           done = std::move(done)](
+                                              const PlatformReply& reply) {
+    const Decision found =
+        reply.body == OwnerJson() ? Decision::kOurs : Decision::kTaken;
+    Finish(key, requested_at, reply.ok() ? found : Decision::kUndecided, done);
+  });
 }
 
 void KeyRegister::Finish(const RequestKey& key,
-                         TimePoint asked,
+                         TimePoint requested_at,
                          Decision decision,
                          const Done& done) {
-  --open_;
+  --pending_keys_;
   if (decision == Decision::kUndecided) {
     paused_until_ = clock_.Now() + options_.pause_after_failure;
   }
-  Tell(LogLevel::kInfo, key, asked, decision, done);
+  ReportDecision(LogLevel::kInfo, key, requested_at, decision, done);
 }
 
-void KeyRegister::Tell(LogLevel level,
-                       const RequestKey& key,
-                       TimePoint asked,
-                       Decision decision,
-                       const Done& done) const {
+void KeyRegister::ReportDecision(LogLevel level,
+                                 const RequestKey& key,
+                                 TimePoint requested_at,
+                                 Decision decision,
+                                 const Done& done) const {
   log_.Write(level, "key_decided",
              {{"key", key.ToString()},
-              {"decision", NameOf(decision)},
-              {"open", open_},
-              {"waited_ms", ToMilliseconds(clock_.Now() - asked)}});
+              {"decision", DecisionName(decision)},
+              {"open", pending_keys_},
+              {"waited_ms", ToMilliseconds(clock_.Now() - requested_at)}});
   done(key, decision);
 }
 
 void KeyRegister::Tick() {
   const TimePoint now = clock_.Now();
-  if (next_sweep_ == TimePoint()) {
-    // The first is put off as well: a fleet that starts must not list at once.
+  if (next_sweep_at_ == TimePoint()) {
+    // The first sweep is delayed by a random time too: a starting fleet must
+    // not list all at once.
     std::uniform_int_distribution<int64_t> pick(0,
                                                 options_.sweep_period.count());
-    next_sweep_ = now + Duration(pick(random_));
+    next_sweep_at_ = now + Duration(pick(random_));
   }
-  if (now >= next_sweep_) {
-    next_sweep_ = now + options_.sweep_period;
+  if (now >= next_sweep_at_) {
+    next_sweep_at_ = now + options_.sweep_period;
     Sweep();
   }
-  if (!garbage_.empty()) {
-    const Garbage oldest = std::move(garbage_.front());
-    garbage_.pop_front();
+  if (!expired_objects_.empty()) {
+    const ExpiredObject oldest = std::move(expired_objects_.front());
+    expired_objects_.pop_front();
     // Best effort: another entry deletes it too, or the next sweep finds it.
     port_.Call({.method = "DELETE",
                 .path = "/objects/" + oldest.object,
@@ -130,9 +134,9 @@
 }
 
 void KeyRegister::Sweep() {
-  port_.Call(
-      {.method = "GET", .path = "/objects?prefix=" + std::string(kObjects)},
-      [this](const PlatformReply& reply) { OnList(reply); });
+  port_.Call({.method = "GET",
+              .path = "/objects?prefix=" + std::string(kObjectPrefix)},
+             [this](const PlatformReply& reply) { OnList(reply); });
 }
 
 void KeyRegister::OnList(const PlatformReply& reply) {
@@ -145,7 +149,7 @@
     log_.Warn("key_sweep_failed", {{"status", reply.status}});
     return;
   }
-  garbage_.clear();
+  expired_objects_.clear();
   const WallTime oldest = clock_.WallNow() - options_.retention;
   for (const json::value& item : objects->get_array()) {
     const json::object* object = item.if_object();
@@ -154,14 +158,16 @@
     const json::value* version =
         object == nullptr ? nullptr : object->if_contains("version");
     if (name == nullptr || version == nullptr || !name->is_string() ||
-        !version->is_string() || !name->get_string().starts_with(kObjects)) {
+        !version->is_string() ||
+        !name->get_string().starts_with(kObjectPrefix)) {
       continue;
     }
     const auto key = RequestKey::Parse(
-        std::string_view(name->get_string()).substr(kObjects.size()));
+        std::string_view(name->get_string()).substr(kObjectPrefix.size()));
     if (key.has_value() && key->first_sent() < oldest) {
-      garbage_.push_back({.object = std::string(name->get_string()),
-                          .version = std::string(version->get_string())});
+      expired_objects_.push_back(
+          {.object = std::string(name->get_string()),
+           .version = std::string(version->get_string())});
     }
   }
 }
--- a/lavenderkeel/claim/key_register.h
+++ b/lavenderkeel/claim/key_register.h
@@ -15,34 +15,37 @@
 
 namespace lavenderkeel {
 
-/// Has the platform decide which entry gets a key, where the holders can't: one
-/// object a key, created by the first that asks and by nobody after it.
+/// Lets the platform decide which entry owns a key where the holders cannot:
+/// with one object per key, created by the first entry that asks and never
+/// again.
 ///
-/// Failure: a holder is silent and can't be told from one that is gone. Symptom
-/// without the register: new keys are answered "unknown" for as long as claims
-/// are kept; with a guess instead, both sides of a cut start the key. The
-/// platform creates an object once, whoever asks and from which side.
+/// A holder without contact cannot be told from one that is gone. Without the
+/// platform, new keys would be answered "unknown" for as long as claims are
+/// kept; with a guess, entries on both sides of a partition would start the
+/// request. The platform creates an object once, whichever entry asks and from
+/// whichever side.
 class KeyRegister {
  public:
   struct Options {
-    /// Keys waiting for the platform at a time; those beyond are undecided. The
-    /// platform's rate of writes is for configuration first.
-    size_t most_open = 100;
-    /// After a call that failed, keys are undecided at once for so long: a
-    /// caller gains nothing by waiting for a platform that is away.
+    /// Limit on keys that wait for the platform at a time; keys beyond it are
+    /// undecided. The write rate of the platform is reserved for configuration
+    /// first.
+    size_t max_pending_keys = 100;
+    /// How long keys are undecided at once after a failed call: a caller gains
+    /// nothing by waiting for an unavailable platform.
     Duration pause_after_failure = std::chrono::seconds(1);
-    /// How long an object is kept; beyond the retention of claims, after which
-    /// no entry vouches for the key.
+    /// How long an object is kept; longer than the retention time of claims,
+    /// after which no entry vouches for the key.
     Duration retention = std::chrono::minutes(12);
-    /// Between two looks for objects past the retention.
+    /// Interval between two searches for expired objects.
     Duration sweep_period = std::chrono::minutes(5);
   };
 
   enum class Decision {
     kOurs,
-    /// Another entry has it.
+    /// Another entry owns the key.
     kTaken,
-    /// The platform did not say, or was not asked.
+    /// The platform did not answer or was not asked.
     kUndecided,
   };
   using Done = std::function<void(const RequestKey&, Decision)>;
@@ -54,34 +57,35 @@
               const EventLog& log,
               PlatformPort& port);
 
-  /// @param done called once, from within if the platform is not asked
+  /// @param done called once, before Decide returns if the platform is not
+  ///     asked
   void Decide(const RequestKey& key, Done done);
-  /// Deletes objects past the retention, a few at a time.
+  /// Searches for expired objects periodically and deletes one per call.
   void Tick();
 
  private:
-  struct Garbage {
+  struct ExpiredObject {
     std::string object;
     std::string version;
   };
 
   void OnCreated(const RequestKey& key,
-                 TimePoint asked,
+                 TimePoint requested_at,
                  const PlatformReply& reply,
                  const Done& done);
-  /// The object is there already, perhaps by a call of ours whose answer was
-  /// lost.
-  void ReadOwner(const RequestKey& key, TimePoint asked, Done done);
+  /// Reads the owner of an object that exists already, perhaps created by an
+  /// earlier call of this entry whose answer was lost.
+  void ReadOwner(const RequestKey& key, TimePoint requested_at, Done done);
   void Finish(const RequestKey& key,
-              TimePoint asked,
+              TimePoint requested_at,
               Decision decision,
               const Done& done);
-  void Tell(LogLevel level,
-            const RequestKey& key,
-            TimePoint asked,
-            Decision decision,
-            const Done& done) const;
-  std::string Body() const;
+  void ReportDecision(LogLevel level,
+                      const RequestKey& key,
+                      TimePoint requested_at,
+                      Decision decision,
+                      const Done& done) const;
+  std::string OwnerJson() const;
   void Sweep();
   void OnList(const PlatformReply& reply);
 
@@ -91,10 +95,10 @@
   std::mt19937_64& random_;
   const EventLog& log_;
   PlatformPort& port_;
-  size_t open_ = 0;
+  size_t pending_keys_ = 0;
   TimePoint paused_until_;
-  TimePoint next_sweep_;
-  std::deque<Garbage> garbage_;
+  TimePoint next_sweep_at_;
+  std::deque<ExpiredObject> expired_objects_;
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/claim/peer_pool.h
+++ b/lavenderkeel/claim/peer_pool.h
@@ -10,55 +10,55 @@
 
 namespace lavenderkeel {
 
-/// Gives each incarnation a small number while it is in use.
+/// Reference-counted pool that gives each incarnation in use a small index.
 class PeerPool {
  public:
   using Index = uint32_t;
 
-  /// Counts one more use.
-  Index Take(const PeerId& peer) {
+  /// Adds a use of the incarnation and returns its index.
+  Index Acquire(const PeerId& peer) {
     const auto [position, inserted] = indexes_.try_emplace(peer, 0);
     if (inserted) {
-      position->second = NewSlot(peer);
+      position->second = AllocateIndex(peer);
     }
-    ++slots_[position->second].uses;
+    ++records_[position->second].uses;
     return position->second;
   }
 
-  /// Ends one use; the number is given out again after the last.
+  /// Ends one use; the index is reused after the last one ends.
   void Release(Index index) {
-    Slot& slot = slots_[index];
-    assert(slot.uses > 0);
-    --slot.uses;
-    if (slot.uses == 0) {
-      indexes_.erase(slot.peer);
-      free_.push_back(index);
+    Record& record = records_[index];
+    assert(record.uses > 0);
+    --record.uses;
+    if (record.uses == 0) {
+      indexes_.erase(record.peer);
+      free_indexes_.push_back(index);
     }
   }
 
-  const PeerId& Get(Index index) const { return slots_[index].peer; }
+  const PeerId& Get(Index index) const { return records_[index].peer; }
   size_t size() const { return indexes_.size(); }
 
  private:
-  struct Slot {
+  struct Record {
     PeerId peer;
     uint32_t uses = 0;
   };
 
-  Index NewSlot(const PeerId& peer) {
-    if (free_.empty()) {
-      slots_.push_back({.peer = peer, .uses = 0});
-      return static_cast<Index>(slots_.size() - 1);
+  Index AllocateIndex(const PeerId& peer) {
+    if (free_indexes_.empty()) {
+      records_.push_back({.peer = peer, .uses = 0});
+      return static_cast<Index>(records_.size() - 1);
     }
-    const Index index = free_.back();
-    free_.pop_back();
-    slots_[index] = {.peer = peer, .uses = 0};
+    const Index index = free_indexes_.back();
+    free_indexes_.pop_back();
+    records_[index] = {.peer = peer, .uses = 0};
     return index;
   }
 
   std::map<PeerId, Index> indexes_;
-  std::vector<Slot> slots_;
-  std::vector<Index> free_;
+  std::vector<Record> records_;
+  std::vector<Index> free_indexes_;
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/membership.h
+++ b/lavenderkeel/membership.h
@@ -1,4 +1,5 @@
-// Module membership: who is there, by heartbeats on our own connections.
+// Module membership: detects which instances are alive, by heartbeats on direct
+// connections.
 #ifndef LAVENDERKEEL_MEMBERSHIP_H_
 #define LAVENDERKEEL_MEMBERSHIP_H_
 
--- a/lavenderkeel/membership/backoff.h
+++ b/lavenderkeel/membership/backoff.h
@@ -8,10 +8,10 @@
 
 namespace lavenderkeel {
 
-/// Exponential backoff with full jitter.
+/// Exponential backoff with jitter.
 ///
-/// Without jitter everything that an outage disconnected comes back in the
-/// same instant and takes the restarted side down again.
+/// Without jitter everything that an outage disconnected reconnects in the same
+/// instant and overloads the restarted side again.
 class Backoff {
  public:
   struct Options {
@@ -22,7 +22,8 @@
   Backoff() = default;
   explicit Backoff(Options options) : options_(options) {}
 
-  /// The wait before the next try: uniform between half and the whole step.
+  /// Returns the wait before the next attempt: uniform between half and the
+  /// whole step.
   Duration Next(std::mt19937_64& random) {
     const Duration step = std::min(options_.longest, options_.first * factor_);
     if (step < options_.longest) {
--- a/lavenderkeel/membership/coordinators.cc
+++ b/lavenderkeel/membership/coordinators.cc
@@ -10,11 +10,11 @@
 
 std::set<std::string> ChooseCoordinators(const std::vector<InstanceInfo>& all,
                                          const CoordinatorRules& rules) {
-  double largest = 0;
+  double largest_share = 0;
   for (const InstanceInfo& info : all) {
-    largest = std::max(largest, info.processor_share);
+    largest_share = std::max(largest_share, info.processor_share);
   }
-  const double least = largest * rules.least_part_of_share;
+  const double min_share = largest_share * rules.min_share_fraction;
   struct Ranked {
     bool strong = false;
     uint64_t weight = 0;
@@ -22,10 +22,10 @@
   };
   const uint64_t key = HashBytes("coordinators");
   std::vector<Ranked> ranked;
-  size_t strong = 0;
+  size_t strong_count = 0;
   for (const InstanceInfo& info : all) {
-    const bool is_strong = info.processor_share >= least;
-    strong += is_strong ? 1 : 0;
+    const bool is_strong = info.processor_share >= min_share;
+    strong_count += is_strong ? 1 : 0;
     ranked.push_back({.strong = is_strong,
                       .weight = RendezvousWeight(key, info.id.instance),
                       .name = &info.id.instance});
@@ -34,12 +34,13 @@
     return std::tie(a.strong, a.weight, *a.name) >
            std::tie(b.strong, b.weight, *b.name);
   });
-  const auto root = static_cast<size_t>(
+  const auto root_of_count = static_cast<size_t>(
       std::ceil(std::sqrt(static_cast<double>(all.size()))));
-  const size_t most = std::clamp(root + rules.beyond_root, rules.fewest,
-                                 std::max(rules.fewest, rules.most));
-  const size_t wanted = std::clamp(strong, rules.fewest, most);
-  ranked.resize(std::min(ranked.size(), wanted));
+  const size_t max_count =
+      std::clamp(root_of_count + rules.max_beyond_root, rules.min,
+                 std::max(rules.min, rules.most));
+  const size_t count = std::clamp(strong_count, rules.min, max_count);
+  ranked.resize(std::min(ranked.size(), count));
   std::set<std::string> chosen;
   for (const Ranked& entry : ranked) {
     chosen.insert(*entry.name);
--- a/lavenderkeel/membership/coordinators.h
+++ b/lavenderkeel/membership/coordinators.h
@@ -10,36 +10,38 @@
 
 namespace lavenderkeel {
 
-/// Which entries of a fleet the others report to.
+/// Rules for choosing the coordinators, the entries that all others report to.
 ///
-/// Load it answers: where every entry reports to every other, 103 of them send
-/// 105,000 reports a second, and each of a tenth of a core spends more on the
-/// others than on its clients. With some coordinators that hear of all and tell
-/// all, an entry's reports are as many as there are coordinators, however large
-/// the fleet is.
+/// If every entry reported to every other, 103 entries would send 105,000
+/// reports per second, and an entry with a tenth of a core would spend more on
+/// the other entries than on its clients. With some coordinators that collect
+/// the reports of all and pass them on to all, an entry sends as many reports
+/// as there are coordinators, however large the fleet is.
 struct CoordinatorRules {
-  /// More speed nothing up: there are fewer groups of servers than that, and a
-  /// group has its gate at one of them.
+  /// More coordinators bring no speed-up: there are fewer groups of servers
+  /// than that, and each group has its slot scheduler at one coordinator.
   size_t most = 16;
-  /// The loss of two at a time must leave some that everybody is connected to.
-  size_t fewest = 4;
-  /// Beyond the square root of the number of entries so many more are chosen at
-  /// most. Each reads the store and hears of all: with 18 equal entries before
-  /// 30 servers 16 coordinators made as many calls to the store as all.
-  size_t beyond_root = 2;
-  /// An entry with less than this part of the largest processor share is one
-  /// only where there are too few others: a coordinator's work grows with the
-  /// fleet, and every entry gets the same part of the clients, so what is left
-  /// of a large share is idle.
-  double least_part_of_share = 0.5;
+  /// The loss of two at a time must leave some that all entries are connected
+  /// to.
+  size_t min = 4;
+  /// Maximum number of coordinators beyond the square root of the number of
+  /// entries. Each coordinator reads the store and receives the reports of all:
+  /// in front of 30 servers, 16 coordinators among 18 equal entries made as
+  /// many calls to the store as all 18.
+  size_t max_beyond_root = 2;
+  /// An entry with less than this fraction of the largest processor share is
+  /// chosen only if there are too few others: the work of a coordinator grows
+  /// with the fleet, and every entry gets the same fraction of the clients, so
+  /// the rest of a large share is idle.
+  double min_share_fraction = 0.5;
 
   friend bool operator==(const CoordinatorRules&,
                          const CoordinatorRules&) = default;
 };
 
-/// The names of the coordinators among the entries, which lists no name twice.
-/// Entries that know of the same others choose the same ones; a join or a leave
-/// changes one at most.
+/// Returns the names of the coordinators among the entries, whose names must be
+/// unique. Entries that know the same others choose the same coordinators; a
+/// join or a leave changes at most one.
 std::set<std::string> ChooseCoordinators(const std::vector<InstanceInfo>& all,
                                          const CoordinatorRules& rules);
 
--- a/lavenderkeel/membership/gap_detector.h
+++ b/lavenderkeel/membership/gap_detector.h
@@ -5,25 +5,25 @@
 
 namespace lavenderkeel {
 
-/// Notices that this process was frozen or starved.
+/// Detects that this process was frozen or starved.
 ///
-/// Failure: a paused process wakes and acts on what was true before. Symptom:
-/// it calls everybody else silent, or vouches for keys that were claimed
-/// elsewhere meanwhile. Every event first asks whether time jumped, so nothing
-/// is decided on the old state before the gap is known.
+/// A process that resumes after a pause would act on outdated state: it would
+/// treat all others as unresponsive, or vouch for keys that were claimed
+/// elsewhere meanwhile. Every event therefore checks for a jump in time first,
+/// so that nothing is decided on the old state before the gap is known.
 class GapDetector {
  public:
-  explicit GapDetector(Duration longest) : longest_(longest) {}
+  explicit GapDetector(Duration max_gap) : max_gap_(max_gap) {}
 
-  /// True once after each gap.
+  /// Returns true once after each gap.
   bool Check(TimePoint now) {
-    const bool gap = last_ != TimePoint() && now - last_ > longest_;
+    const bool is_gap = last_ != TimePoint() && now - last_ > max_gap_;
     last_ = now;
-    return gap;
+    return is_gap;
   }
 
  private:
-  Duration longest_;
+  Duration max_gap_;
   TimePoint last_;
 };
 
--- a/lavenderkeel/membership/greeting.h
+++ b/lavenderkeel/membership/greeting.h
@@ -6,8 +6,8 @@
 
 namespace lavenderkeel {
 
-/// What a process says of itself or of another, in its form on the wire. The
-/// protocol version is left out.
+/// Converts the description of a process to and from its form on the wire,
+/// which leaves the protocol version out.
 Hello ToHello(const InstanceInfo& info);
 InstanceInfo FromHello(const Hello& hello);
 
--- a/lavenderkeel/membership/holder_ranking.cc
+++ b/lavenderkeel/membership/holder_ranking.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-std::vector<std::string> Top(const RequestKey& key,
-                             const std::vector<std::string>& names) {
+std::vector<std::string> TopHolders(const RequestKey& key,
+                                    const std::vector<std::string>& names) {
   return RendezvousTop(RequestKeyHash()(key), names, HolderRanking::kHolders);
 }
 
@@ -25,8 +25,8 @@
 }
 
 void HolderRanking::SetPresent(const PeerId& peer, WallTime now) {
-  counted_since_.try_emplace(peer.instance, now);
-  Present& present = present_[peer.instance];
+  known_since_.try_emplace(peer.instance, now);
+  PresentEntry& present = present_[peer.instance];
   if (present.incarnation != peer.incarnation) {
     present = {.incarnation = peer.incarnation, .known_entries = {}};
   }
@@ -36,24 +36,25 @@
   }
   if (lost->second.incarnation == peer.incarnation) {
     lost_.erase(lost);
-  } else if (lost->second.may_live) {
-    lost->second.may_live = false;
-    lost->second.until = now;
+  } else if (lost->second.may_be_alive) {
+    lost->second.may_be_alive = false;
+    lost->second.replaced_at = now;
   }
 }
 
 void HolderRanking::SetLost(const PeerId& peer, WallTime now) {
-  counted_since_.try_emplace(peer.instance, now);
+  known_since_.try_emplace(peer.instance, now);
   const auto present = present_.find(peer.instance);
-  const bool agreed = present != present_.end() &&
-                      present->second.incarnation == peer.incarnation &&
-                      present->second.known_entries == KnownEntries();
+  const bool had_same_view = present != present_.end() &&
+                             present->second.incarnation == peer.incarnation &&
+                             present->second.known_entries == KnownEntries();
   if (present != present_.end()) {
     present_.erase(present);
   }
-  lost_.insert_or_assign(
-      peer.instance,
-      Loss{.incarnation = peer.incarnation, .when = now, .agreed = agreed});
+  lost_.insert_or_assign(peer.instance,
+                         LostEntry{.incarnation = peer.incarnation,
+                                   .lost_at = now,
+                                   .had_same_view = had_same_view});
 }
 
 void HolderRanking::SetLeft(const std::string& instance) {
@@ -69,7 +70,7 @@
 }
 
 uint64_t HolderRanking::KnownEntries() const {
-  Names names = PresentAndMayLive();
+  Names names = PresentAndMaybeAlive();
   std::ranges::sort(names);
   uint64_t hash = 0;
   for (const std::string& name : names) {
@@ -79,66 +80,74 @@
 }
 
 HolderRanking::Names HolderRanking::Holders(const RequestKey& key) const {
-  return Top(key, With([](const Loss&) { return false; }));
+  return TopHolders(key,
+                    PresentAndLost([](const LostEntry&) { return false; }));
 }
 
 bool HolderRanking::MetEveryClaim(const std::string& instance,
                                   const RequestKey& key) const {
-  // Whoever was lost before the key was first sent has granted no claim on it.
+  // An entry that was lost before the key was first sent has granted no claim
+  // on it.
   const WallTime since = key.first_sent() - options_.clock_skew;
   const Names top =
-      Top(key, With([since](const Loss& loss) { return loss.when >= since; }));
+      TopHolders(key, PresentAndLost([since](const LostEntry& loss) {
+                   return loss.lost_at >= since;
+                 }));
   return Contains(top, instance);
 }
 
 HolderCoverage HolderRanking::Coverage(const RequestKey& key) const {
-  size_t silent = 0;
-  bool was_silent = false;
+  size_t maybe_alive_holders = 0;
+  bool has_replaced_holder = false;
   for (const auto& [name, loss] : lost_) {
-    if (loss.may_live) {
-      silent += MayHold(name, loss, key) ? 1 : 0;
+    if (loss.may_be_alive) {
+      maybe_alive_holders += MayBeHolder(name, loss, key) ? 1 : 0;
       continue;
     }
-    // Failure: an entry that was cut off has the platform give it a key, runs
-    // it and dies; its successor is met here. Symptom: nobody that can be asked
-    // has a claim on the key, and it runs again. Keys from before the successor
-    // are decided by the platform as well.
-    const bool before = key.first_sent() <= loss.until + options_.clock_skew;
-    was_silent |= before && MayHold(name, loss, key);
+    // While it was cut off, the lost entry may have been granted the key by the
+    // platform, run the request and died; its successor is connected here. No
+    // reachable entry has a claim on the key, so the request would run again.
+    // The platform therefore also decides keys older than the successor.
+    const bool is_older =
+        key.first_sent() <= loss.replaced_at + options_.clock_skew;
+    has_replaced_holder |= is_older && MayBeHolder(name, loss, key);
   }
-  if (silent > 1 || (silent == 1 && !AllAgree())) {
+  if (maybe_alive_holders > 1 ||
+      (maybe_alive_holders == 1 && !AllHaveSameView())) {
     return HolderCoverage::kNone;
   }
-  return silent == 1 || was_silent ? HolderCoverage::kPlatformDecides
-                                   : HolderCoverage::kFull;
+  return maybe_alive_holders == 1 || has_replaced_holder
+             ? HolderCoverage::kPlatformDecides
+             : HolderCoverage::kFull;
 }
 
 bool HolderRanking::AnySilent() const {
   return std::ranges::any_of(
-      lost_, [](const auto& item) { return item.second.may_live; });
+      lost_, [](const auto& item) { return item.second.may_be_alive; });
 }
 
-bool HolderRanking::MayHold(const std::string& instance,
-                            const Loss& loss,
-                            const RequestKey& key) const {
-  return std::ranges::any_of(TopsFor(loss, key), [&instance](const Names& top) {
-    return Contains(top, instance);
-  });
+bool HolderRanking::MayBeHolder(const std::string& instance,
+                                const LostEntry& loss,
+                                const RequestKey& key) const {
+  return std::ranges::any_of(
+      PossibleHolders(loss, key),
+      [&instance](const Names& top) { return Contains(top, instance); });
 }
 
-std::vector<HolderRanking::Names> HolderRanking::TopsFor(
-    const Loss& loss,
+std::vector<HolderRanking::Names> HolderRanking::PossibleHolders(
+    const LostEntry& loss,
     const RequestKey& key) const {
-  // Failure: an entry that joins after the loss takes the place of the lost one
-  // among the holders, here but not in the lost one's view. Symptom: the key is
-  // started on both sides of a cut. Both views count.
-  return {Top(key, WithMayLiveAnd(loss)), Top(key, KnownTo(loss))};
+  // An entry that joins after the loss replaces the lost one among the holders
+  // here, but not in the view of the lost one, so the request could be started
+  // on both sides of a partition. Both views count.
+  return {TopHolders(key, PresentMaybeAliveAnd(loss)),
+          TopHolders(key, NamesKnownTo(loss))};
 }
 
 bool HolderRanking::RanksBesideLost(const std::string& instance,
                                     const RequestKey& key) const {
   for (const auto& [lost, loss] : lost_) {
-    for (const Names& top : TopsFor(loss, key)) {
+    for (const Names& top : PossibleHolders(loss, key)) {
       if (Contains(top, lost) && !Contains(top, instance)) {
         return false;
       }
@@ -147,54 +156,60 @@
   return true;
 }
 
-HolderRanking::Names HolderRanking::KnownTo(const Loss& loss) const {
-  // With the same view at the end it knew all that were counted here then;
-  // else those that all had time to count.
+HolderRanking::Names HolderRanking::NamesKnownTo(const LostEntry& loss) const {
+  // If both had the same view at the time of the loss, the lost entry knew all
+  // entries that were known here then; otherwise only those that all had time
+  // to learn of.
   const WallTime latest =
-      loss.agreed ? loss.when : loss.when - options_.settle_time;
-  Names names = WithMayLiveAnd(loss);
+      loss.had_same_view ? loss.lost_at : loss.lost_at - options_.settle_time;
+  Names names = PresentMaybeAliveAnd(loss);
   std::erase_if(names, [&](const std::string& name) {
-    return !lost_.contains(name) && counted_since_.at(name) > latest;
+    return !lost_.contains(name) && known_since_.at(name) > latest;
   });
   return names;
 }
 
-HolderRanking::Names HolderRanking::WithMayLiveAnd(const Loss& loss) const {
-  return With(
-      [&loss](const Loss& other) { return other.may_live || &other == &loss; });
+HolderRanking::Names HolderRanking::PresentMaybeAliveAnd(
+    const LostEntry& loss) const {
+  return PresentAndLost([&loss](const LostEntry& other) {
+    return other.may_be_alive || &other == &loss;
+  });
 }
 
-bool HolderRanking::AllAgree() const {
+bool HolderRanking::AllHaveSameView() const {
   const uint64_t own = KnownEntries();
-  const bool present_agree =
+  const bool present_have_same_view =
       std::ranges::all_of(present_, [&](const auto& item) {
         return item.first == self_ || item.second.known_entries == own;
       });
-  return present_agree && std::ranges::all_of(lost_, [](const auto& item) {
-           return !item.second.may_live || item.second.agreed;
+  return present_have_same_view &&
+         std::ranges::all_of(lost_, [](const auto& item) {
+           return !item.second.may_be_alive || item.second.had_same_view;
          });
 }
 
 void HolderRanking::ForgetLostBefore(WallTime when) {
-  std::erase_if(lost_,
-                [when](const auto& item) { return item.second.when < when; });
-  std::erase_if(counted_since_, [this](const auto& item) {
+  std::erase_if(
+      lost_, [when](const auto& item) { return item.second.lost_at < when; });
+  std::erase_if(known_since_, [this](const auto& item) {
     return !IsPresent(item.first) && !lost_.contains(item.first);
   });
 }
 
-HolderRanking::Names HolderRanking::PresentAndMayLive() const {
-  return With([](const Loss& loss) { return loss.may_live; });
+HolderRanking::Names HolderRanking::PresentAndMaybeAlive() const {
+  return PresentAndLost(
+      [](const LostEntry& loss) { return loss.may_be_alive; });
 }
 
-HolderRanking::Names HolderRanking::With(const Counts& counts) const {
+HolderRanking::Names HolderRanking::PresentAndLost(
+    const LostFilter& filter) const {
   Names names;
   names.reserve(present_.size() + lost_.size());
   for (const auto& [name, present] : present_) {
     names.push_back(name);
   }
   for (const auto& [name, loss] : lost_) {
-    if (!IsPresent(name) && counts(loss)) {
+    if (!IsPresent(name) && filter(loss)) {
       names.push_back(name);
     }
   }
--- a/lavenderkeel/membership/instance_info.cc
+++ b/lavenderkeel/membership/instance_info.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::string StringOr(const json::object& object, std::string_view name) {
+std::string StringOrEmpty(const json::object& object, std::string_view name) {
   const json::value* value = object.if_contains(name);
   return value != nullptr && value->is_string()
              ? std::string(value->get_string())
@@ -22,12 +22,12 @@
   }
   const json::object& object = value.get_object();
   InstanceInfo info;
-  info.id.instance = StringOr(object, "instance");
-  info.address = StringOr(object, "address");
-  info.data_centre = StringOr(object, "data_centre");
-  info.region = StringOr(object, "region");
-  info.leaving = StringOr(object, "state") == "leaving";
-  const std::string role = StringOr(object, "role");
+  info.id.instance = StringOrEmpty(object, "instance");
+  info.address = StringOrEmpty(object, "address");
+  info.data_centre = StringOrEmpty(object, "data_centre");
+  info.region = StringOrEmpty(object, "region");
+  info.leaving = StringOrEmpty(object, "state") == "leaving";
+  const std::string role = StringOrEmpty(object, "role");
   info.role = role == "agent" ? Role::kAgent : Role::kEntry;
   const json::value* incarnation = object.if_contains("incarnation");
   if (incarnation != nullptr && incarnation->is_number()) {
--- a/lavenderkeel/membership/instance_info.h
+++ b/lavenderkeel/membership/instance_info.h
@@ -9,7 +9,8 @@
 
 namespace lavenderkeel {
 
-/// What one process says of itself, in greetings and in the instance list.
+/// Description of a process, as sent in handshakes and listed in the instance
+/// list.
 struct InstanceInfo {
   PeerId id;
   Role role = Role::kEntry;
@@ -17,22 +18,22 @@
   std::string region;
   std::string address;
   bool leaving = false;
-  /// The part of a processor core that it may use; compared only with that of
-  /// others.
+  /// Fraction of a processor core that the process may use; only compared with
+  /// that of others.
   double processor_share = 1;
-  /// An entry that has claimed no key since its start: whoever it meets now has
-  /// missed no claim of it.
+  /// True for an entry that has claimed no key since its start: entries that
+  /// connect to it now have missed no claim of it.
   bool no_claims = false;
 
   friend bool operator==(const InstanceInfo&, const InstanceInfo&) = default;
 };
 
-/// Reads the platform's `GET /instances`; entries it can't read are skipped,
-/// since the list is a hint only.
+/// Parses the platform's `GET /instances`; unreadable items are skipped, since
+/// the list is only a hint.
 leaf::result<std::vector<InstanceInfo>> ParseInstanceList(
     const std::string& json);
 
-/// The body of a daemon's own registration object.
+/// Returns the body of a daemon's own registration object.
 std::string RegistrationBody(const InstanceInfo& info);
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/membership/member_table.cc
+++ b/lavenderkeel/membership/member_table.cc
@@ -26,9 +26,9 @@
   const bool outbound = !dialed.empty();
   const auto known = members_.find(peer.id.instance);
   const bool is_self = peer.id.instance == self_.id.instance;
-  // Failure: a frozen predecessor wakes and dials again under the same name.
-  // Symptom: state of a dead incarnation is taken for that of the living one.
-  // Incarnations grow, so the lower number is refused.
+  // A frozen predecessor may resume and dial again under the same name; its
+  // state must not be taken for that of the live incarnation. Incarnations
+  // grow, so the lower number is refused.
   const bool is_dead = known != members_.end() &&
                        peer.id.incarnation < known->second.info.id.incarnation;
   if (is_self) {
@@ -38,18 +38,20 @@
     outbox_.Push(CloseLink{.link = link});
     return false;
   }
-  Member& member = Admit(peer);
-  std::optional<LinkId>& slot = outbound ? member.outbound : member.inbound;
-  if (slot.has_value()) {
-    Close(*slot);
+  Member& member = AddOrReplaceMember(peer);
+  std::optional<LinkId>& link_slot =
+      outbound ? member.outbound : member.inbound;
+  if (link_slot.has_value()) {
+    Close(*link_slot);
   }
   const TimePoint now = clock_.Now();
   links_[link] = {.instance = peer.id.instance,
                   .outbound = outbound,
-                  .last_heard = now,
+                  .last_received = now,
                   .last_sent = now};
-  slot = link;
-  // At once: without it the other knows neither our load nor our version.
+  link_slot = link;
+  // Sent at once: before it the peer knows neither the load nor the
+  // configuration version of this process.
   outbox_.Send(link, make_heartbeat_());
   if (!outbound) {
     return true;
@@ -65,11 +67,11 @@
   return true;
 }
 
-Member& MemberTable::Admit(const InstanceInfo& peer) {
+Member& MemberTable::AddOrReplaceMember(const InstanceInfo& peer) {
   const auto found = members_.find(peer.id.instance);
   if (found != members_.end() && found->second.info.id != peer.id) {
-    const PeerId dead = found->second.info.id;
-    const bool already_lost = found->second.lost;
+    const PeerId replaced = found->second.info.id;
+    const bool was_lost = found->second.lost;
     const Role role = found->second.info.role;
     if (found->second.outbound.has_value()) {
       Close(*found->second.outbound);
@@ -78,8 +80,8 @@
       Close(*found->second.inbound);
     }
     members_.erase(peer.id.instance);
-    if (!already_lost) {
-      signal_lost_.emit(dead, role);
+    if (!was_lost) {
+      signal_lost_.emit(replaced, role);
     }
   }
   Member& member = members_[peer.id.instance];
@@ -90,7 +92,7 @@
     member.silent_since = clock_.Now();
   }
   if (!peer.address.empty()) {
-    Target(peer);
+    UpdateDialTarget(peer);
   }
   return member;
 }
@@ -132,13 +134,14 @@
     return;
   }
   found->second.dialing = false;
-  found->second.next = clock_.Now() + found->second.backoff.Next(random_);
+  found->second.next_dial_at =
+      clock_.Now() + found->second.backoff.Next(random_);
 }
 
 void MemberTable::OnHeard(LinkId link) {
   const auto found = links_.find(link);
   if (found != links_.end()) {
-    found->second.last_heard = clock_.Now();
+    found->second.last_received = clock_.Now();
   }
 }
 
@@ -166,13 +169,14 @@
         member != nullptr && member->info.id.incarnation >= info.id.incarnation;
     const bool is_self = info.id.instance == self_.id.instance;
     if (!info.leaving && !known && !is_self) {
-      Target(info);
+      UpdateDialTarget(info);
     }
   }
   // An address that neither a seed nor the list names any more, and that does
-  // not answer, belongs to an instance that was replaced. One that dialled us
-  // lives, whatever the list says: forgotten before it was dialled back, it
-  // would count as lost for good, since no other would tell of it either.
+  // not answer, belongs to an instance that was replaced. An instance that
+  // dialled this process is alive, whatever the list says: if it were forgotten
+  // before it is dialled back, it would count as lost for good, since no other
+  // instance would report it either.
   std::erase_if(targets_, [&](const auto& item) {
     const auto& [address, target] = item;
     const Member* member = Find(target.instance);
@@ -184,10 +188,10 @@
 
 void MemberTable::AddSeed(const std::string& address) {
   targets_[address].seed = true;
-  targets_[address].since = clock_.Now();
+  targets_[address].known_since = clock_.Now();
 }
 
-void MemberTable::Target(const InstanceInfo& info) {
+void MemberTable::UpdateDialTarget(const InstanceInfo& info) {
   // A restarted instance has a new address; the old one must not be dialled
   // for it any more.
   std::erase_if(targets_, [&](const auto& item) {
@@ -197,7 +201,7 @@
   const auto [position, inserted] = targets_.try_emplace(info.address);
   DialTarget& target = position->second;
   if (inserted) {
-    target.since = clock_.Now();
+    target.known_since = clock_.Now();
   }
   target.instance = info.id.instance;
   target.incarnation = info.id.incarnation;
@@ -208,33 +212,33 @@
 
 void MemberTable::Tick() {
   const TimePoint now = clock_.Now();
-  std::vector<LinkId> silent;
-  // Made only when one is due: ticks are many times as often.
+  std::vector<LinkId> unresponsive;
+  // Built only when one is due: ticks are many times as frequent.
   std::optional<Heartbeat> heartbeat;
   for (auto& [link, state] : links_) {
-    // Failure: something between the two ends lost track of the connection;
-    // no error ever comes. Symptom: requests on it hang for good while new
-    // connections work. Heartbeats go both ways, so either side notices within
-    // the timeout and drops it, and what was on it is attached again.
-    if (now - state.last_heard > options_.heartbeat_timeout) {
-      silent.push_back(link);
-    } else if (now - state.last_sent >= PeriodOf(state)) {
+    // Something between the two ends may lose track of the connection without
+    // an error; requests on it would hang for good while new connections work.
+    // Heartbeats go both ways, so either side notices within the timeout and
+    // drops the link, and its requests are attached again.
+    if (now - state.last_received > options_.heartbeat_timeout) {
+      unresponsive.push_back(link);
+    } else if (now - state.last_sent >= HeartbeatPeriodFor(state)) {
       if (!heartbeat.has_value()) {
         heartbeat = make_heartbeat_();
       }
       SendHeartbeat(link, state, *heartbeat);
     }
   }
-  for (const LinkId link : silent) {
+  for (const LinkId link : unresponsive) {
     Close(link);
   }
-  JudgeSilent(now);
-  JudgeUnmet(now);
-  ForgetGone(now);
-  DialDue(now);
+  DetectLost(now);
+  DetectNeverConnected(now);
+  ForgetGoneMembers(now);
+  DialDueTargets(now);
 }
 
-void MemberTable::ForgetGone(TimePoint now) {
+void MemberTable::ForgetGoneMembers(TimePoint now) {
   std::erase_if(members_, [&](const auto& item) {
     const Member& member = item.second;
     const bool linked =
@@ -245,7 +249,7 @@
   });
 }
 
-Duration MemberTable::PeriodOf(const Link& state) const {
+Duration MemberTable::HeartbeatPeriodFor(const Link& state) const {
   const Member& peer = members_.at(state.instance);
   const bool between_entries =
       self_.role == Role::kEntry && peer.info.role == Role::kEntry;
@@ -260,12 +264,12 @@
   outbox_.Send(link, heartbeat);
 }
 
-void MemberTable::JudgeSilent(TimePoint now) {
+void MemberTable::DetectLost(TimePoint now) {
   std::vector<std::pair<PeerId, Role>> lost;
   for (auto& [instance, member] : members_) {
-    // One that is not to be dialled may only dial us.
-    const bool expected =
-        member.met || member.info.role != Role::kEntry || WantsEntry(instance);
+    // An entry that this process does not dial may only dial this process.
+    const bool expected = member.met || member.info.role != Role::kEntry ||
+                          IsWantedEntry(instance);
     const bool overdue =
         expected && member.silent_since.has_value() &&
         now - *member.silent_since > options_.heartbeat_timeout;
@@ -279,34 +283,35 @@
   }
 }
 
-void MemberTable::JudgeUnmet(TimePoint now) {
-  std::vector<PeerId> unmet;
+void MemberTable::DetectNeverConnected(TimePoint now) {
+  std::vector<PeerId> reported_never_connected;
   for (auto& [address, target] : targets_) {
     const bool expected = target.role == Role::kEntry &&
                           target.region == self_.region &&
-                          WantsEntry(target.instance);
-    if (expected && !target.unmet && Find(target.instance) == nullptr &&
-        HadTimeToMeet(target, now)) {
-      target.unmet = true;
-      unmet.push_back(
+                          IsWantedEntry(target.instance);
+    if (expected && !target.reported_never_connected &&
+        Find(target.instance) == nullptr && HadTimeToConnect(target, now)) {
+      target.reported_never_connected = true;
+      reported_never_connected.push_back(
           {.instance = target.instance, .incarnation = target.incarnation});
     }
   }
-  for (const PeerId& peer : unmet) {
-    signal_unmet_.emit(peer);
+  for (const PeerId& peer : reported_never_connected) {
+    signal_never_connected_.emit(peer);
   }
 }
 
-void MemberTable::DialDue(TimePoint now) {
+void MemberTable::DialDueTargets(TimePoint now) {
   if (std::ranges::none_of(targets_, [now](const auto& item) {
-        return !item.second.dialing && item.second.next <= now;
+        return !item.second.dialing && item.second.next_dial_at <= now;
       })) {
     return;
   }
   std::set<std::string> wanted = WantedAgents();
   wanted.merge(WantedEntries());
   for (auto& [address, target] : targets_) {
-    if (target.dialing || target.next > now || !Wants(target, wanted)) {
+    if (target.dialing || target.next_dial_at > now ||
+        !ShouldDial(target, wanted)) {
       continue;
     }
     target.dialing = true;
@@ -314,10 +319,10 @@
   }
 }
 
-bool MemberTable::Wants(const DialTarget& target,
-                        const std::set<std::string>& wanted) const {
+bool MemberTable::ShouldDial(const DialTarget& target,
+                             const std::set<std::string>& wanted) const {
   if (self_.role == Role::kAgent) {
-    // An agent only makes itself known; the entries then dial it.
+    // An agent dials only to make itself known; the entries then dial it.
     const bool known = std::ranges::any_of(members_, [](const auto& item) {
       return item.second.inbound.has_value();
     });
@@ -328,7 +333,7 @@
     return false;
   }
   return !target.role.has_value() || wanted.contains(target.instance) ||
-         also_wanted_.contains(target.instance);
+         extra_wanted_agents_.contains(target.instance);
 }
 
 std::set<std::string> MemberTable::WantedAgents() const {
@@ -336,8 +341,8 @@
   std::vector<std::string> other;
   for (const auto& [address, target] : targets_) {
     if (target.role == Role::kAgent) {
-      const bool near = target.data_centre == self_.data_centre;
-      (near ? own : other).push_back(target.instance);
+      const bool is_near = target.data_centre == self_.data_centre;
+      (is_near ? own : other).push_back(target.instance);
     }
   }
   std::set<std::string> wanted;
@@ -346,8 +351,8 @@
        RendezvousTop(hash, own, options_.agents_per_entry)) {
     wanted.insert(std::move(name));
   }
-  const size_t rest = options_.agents_per_entry - wanted.size();
-  for (std::string& name : RendezvousTop(hash, other, rest)) {
+  const size_t remaining = options_.agents_per_entry - wanted.size();
+  for (std::string& name : RendezvousTop(hash, other, remaining)) {
     wanted.insert(std::move(name));
   }
   return wanted;
@@ -361,7 +366,7 @@
       continue;
     }
     if (target.region == self_.region) {
-      if (WantsEntry(target.instance)) {
+      if (IsWantedEntry(target.instance)) {
         wanted.insert(target.instance);
       }
     } else {
@@ -386,19 +391,21 @@
         !target.role.has_value() ||
         (target.role == Role::kEntry && target.region == self_.region);
     const Member* member = Find(target.instance);
-    const bool met = member != nullptr && member->inbound.has_value() &&
-                     member->outbound.has_value();
-    // While a dial is under way its greeting may be read at any moment; what it
-    // says of us has to stay true until then.
-    const bool given_up = HadTimeToMeet(target, now) && !target.dialing;
-    return !counts || met || given_up;
+    const bool is_connected = member != nullptr &&
+                              member->inbound.has_value() &&
+                              member->outbound.has_value();
+    // The handshake of a pending dial may be read at any moment; what it says
+    // of this process has to stay true until then.
+    const bool is_unreachable =
+        HadTimeToConnect(target, now) && !target.dialing;
+    return !counts || is_connected || is_unreachable;
   });
 }
 
 void MemberTable::ForgiveSilence() {
   const TimePoint now = clock_.Now();
   for (auto& [link, state] : links_) {
-    state.last_heard = now;
+    state.last_received = now;
   }
   for (auto& [instance, member] : members_) {
     if (member.silent_since.has_value() && !member.lost) {
--- a/lavenderkeel/membership/member_table.h
+++ b/lavenderkeel/membership/member_table.h
@@ -19,43 +19,44 @@
 
 namespace lavenderkeel {
 
-/// What this process knows of one other.
+/// What this process knows of another one.
 struct Member {
   InstanceInfo info;
   /// The connection that this process opened and sends its requests on.
   std::optional<LinkId> outbound;
-  /// The connection that the other opened.
+  /// The connection that the peer opened.
   std::optional<LinkId> inbound;
-  /// When the outbound link went away; empty while it is up.
+  /// When the outbound link went down; empty while it is up.
   std::optional<TimePoint> silent_since;
-  /// Set once silence passed the heartbeat timeout.
+  /// Set once the outbound link was down for longer than the heartbeat timeout.
   bool lost = false;
   /// The outbound link has been up.
   bool met = false;
   uint64_t config_version = 0;
-  /// Nothing is known of it before its first heartbeat.
+  /// Set by the first heartbeat, before which nothing is known of the peer.
   bool heard = false;
   Heartbeat load;
 
   bool live() const { return outbound.has_value() && heard && !lost; }
 };
 
-/// Keeps the connections to the other processes and judges who lives.
+/// Keeps the connections to the other processes and detects which of them are
+/// alive.
 ///
-/// The platform's instance list lags, so it only says whom to dial; liveness
-/// is what heartbeats on our own connections say.
+/// The instance list of the platform lags, so it only gives hints which
+/// instances to dial; liveness is decided by heartbeats on direct connections.
 class MemberTable {
  public:
   struct Options {
     Duration heartbeat_period = std::chrono::milliseconds(500);
-    /// Between two entries, of which each knows a whole region.
+    /// Between two entries, each of which knows a whole region.
     Duration entry_heartbeat_period = std::chrono::milliseconds(950);
     Duration heartbeat_timeout = std::chrono::seconds(2);
     Backoff::Options dial;
     /// Agents that an entry keeps a connection to.
     size_t agents_per_entry = 64;
-    /// Entries of each other region that an entry keeps a connection to; to
-    /// those of its own region it connects throughout, for the claims.
+    /// Entries of each other region that an entry keeps a connection to. In its
+    /// own region it connects to all entries, for the claims.
     size_t entries_per_other_region = 2;
     /// How long an instance that is gone is remembered.
     Duration forget_after = std::chrono::minutes(15);
@@ -70,7 +71,7 @@
               Outbox& outbox,
               MakeHeartbeat make_heartbeat);
 
-  /// A connection whose greetings are exchanged.
+  /// Handles a connection whose handshake is complete.
   /// @param dialed the address this process dialled; empty for an inbound link
   /// @return false if the link was refused and is being closed
   bool OnLinkUp(LinkId link,
@@ -78,61 +79,71 @@
                 const std::string& dialed);
   void OnLinkDown(LinkId link);
   void OnDialFailed(const std::string& address);
-  /// Any message: the link is alive.
+  /// Handles any message: the link is alive.
   void OnHeard(LinkId link);
   void OnHeartbeat(LinkId link, const Heartbeat& heartbeat);
   void OnInstanceList(const std::vector<InstanceInfo>& instances);
   void AddSeed(const std::string& address);
-  /// Entries of this region to connect to, by instance; without a set, all.
-  /// Connections that are there already stay.
+  /// Sets the entries of this region to connect to, by instance; without a set,
+  /// all. Existing connections stay.
   void set_wanted_entries(std::optional<std::set<std::string>> wanted) {
     wanted_entries_ = std::move(wanted);
   }
 
-  /// Sends due heartbeats, drops silent links, dials, judges the lost.
+  /// Sends due heartbeats, drops unresponsive links, dials, and detects lost
+  /// peers.
   void Tick();
-  /// After this process was frozen: nobody is silent because we slept.
+  /// Restarts the timeouts of all peers that are not lost, after this process
+  /// was frozen: the missing messages are due to its own pause.
   void ForgiveSilence();
-  /// Wants a link to an agent outside this entry's subset as well.
-  void AlsoWant(const std::string& instance) { also_wanted_.insert(instance); }
-  /// True if we have dialled each entry of this region that is known of and it
-  /// has dialled us, or it has not been reachable for long: then all that can
-  /// be met count each other.
+  /// Adds an agent outside the subset of this entry to the agents to dial.
+  void AlsoWant(const std::string& instance) {
+    extra_wanted_agents_.insert(instance);
+  }
+  /// Returns true if each known entry of this region is connected in both
+  /// directions or has been unreachable for long: then all entries that can
+  /// connect to each other know each other.
   bool MetWithAllEntries() const;
-  /// Over the connections that this process opened.
+  /// Sends over the connections that this process opened.
   void SendToAll(Role role, const Message& message);
-  /// Tells every peer at once, so that none waits for the instance list.
+  /// Sends a heartbeat to every peer at once, so that none waits for the
+  /// instance list.
   void AnnounceNow();
 
   const Member* Find(const std::string& instance) const;
-  /// Exactly this incarnation.
+  /// Finds exactly this incarnation.
   const Member* Find(const PeerId& peer) const;
   const Member* FindByLink(LinkId link) const;
-  /// The outbound link to exactly this incarnation, if it is up.
+  /// Returns the outbound link to exactly this incarnation, if it is up.
   std::optional<LinkId> LinkTo(const PeerId& peer) const;
-  /// The same, or the link that the peer opened if that one is not up.
+  /// Returns the same, or the link that the peer opened if the outbound one is
+  /// down.
   std::optional<LinkId> AnyLinkTo(const PeerId& peer) const;
   std::vector<const Member*> Members(Role role) const;
   const InstanceInfo& self() const { return self_; }
   void set_address(const std::string& address) { self_.address = address; }
   void set_leaving() { self_.leaving = true; }
-  /// What greetings say from now on; see InstanceInfo.
+  /// Sets what handshakes announce from now on; see InstanceInfo.
   void set_no_claims(bool no_claims) { self_.no_claims = no_claims; }
 
-  /// Outbound link up, new or again.
+  /// Emitted when an outbound link is up, for the first time or again.
   sigc::signal<void(const Member&)>& signal_up() { return signal_up_; }
-  /// A link is going away, whoever dropped it; FindByLink still knows it.
+  /// Emitted when a link goes away, whichever side dropped it; FindByLink still
+  /// finds it.
   sigc::signal<void(LinkId)>& signal_link_dropped() {
     return signal_link_dropped_;
   }
-  /// An incarnation is gone: silent past the timeout, or replaced.
+  /// Emitted when an incarnation is gone: without contact past the timeout, or
+  /// replaced.
   sigc::signal<void(const PeerId&, Role)>& signal_lost() {
     return signal_lost_;
   }
-  /// An entry of this region that is told of was never met in all the time in
-  /// which others are met: it is gone, or on the other side of a cut.
-  sigc::signal<void(const PeerId&)>& signal_unmet() { return signal_unmet_; }
-  /// An incarnation said that it is leaving.
+  /// Emitted when a known entry of this region did not connect in all the time
+  /// in which others do: it is gone, or on the other side of a partition.
+  sigc::signal<void(const PeerId&)>& signal_unmet() {
+    return signal_never_connected_;
+  }
+  /// Emitted when an incarnation announces that it is leaving.
   sigc::signal<void(const PeerId&, Role)>& signal_leaving() {
     return signal_leaving_;
   }
@@ -141,47 +152,46 @@
   struct Link {
     std::string instance;
     bool outbound = false;
-    TimePoint last_heard;
+    TimePoint last_received;
     TimePoint last_sent;
   };
   struct DialTarget {
     Backoff backoff;
-    TimePoint next;
+    TimePoint next_dial_at;
     bool dialing = false;
     bool seed = false;
-    /// When the address was first heard of.
-    TimePoint since;
+    /// When the address became known.
+    TimePoint known_since;
     std::string instance;
     uint64_t incarnation = 0;
-    /// It was told of by signal_unmet.
-    bool unmet = false;
-    /// From the instance list; a seed's role is learnt from its greeting.
+    bool reported_never_connected = false;
+    /// From the instance list; the role of a seed is learnt in its handshake.
     std::optional<Role> role;
     std::string data_centre;
     std::string region;
   };
 
-  Member& Admit(const InstanceInfo& peer);
+  Member& AddOrReplaceMember(const InstanceInfo& peer);
   void Close(LinkId link);
   void DropLink(LinkId link);
-  void Target(const InstanceInfo& info);
-  void DialDue(TimePoint now);
-  void JudgeSilent(TimePoint now);
-  void JudgeUnmet(TimePoint now);
-  /// An entry that has been told of for so long has been reached if it lives.
-  bool HadTimeToMeet(const DialTarget& target, TimePoint now) const {
-    return now - target.since > 2 * options_.heartbeat_timeout;
+  void UpdateDialTarget(const InstanceInfo& info);
+  void DialDueTargets(TimePoint now);
+  void DetectLost(TimePoint now);
+  void DetectNeverConnected(TimePoint now);
+  /// Returns true if an entry would have connected by now if it were alive.
+  bool HadTimeToConnect(const DialTarget& target, TimePoint now) const {
+    return now - target.known_since > 2 * options_.heartbeat_timeout;
   }
-  void ForgetGone(TimePoint now);
-  Duration PeriodOf(const Link& state) const;
+  void ForgetGoneMembers(TimePoint now);
+  Duration HeartbeatPeriodFor(const Link& state) const;
   void SendHeartbeat(LinkId link, Link& state, const Heartbeat& heartbeat);
   std::set<std::string> WantedAgents() const;
   std::set<std::string> WantedEntries() const;
-  bool WantsEntry(const std::string& instance) const {
+  bool IsWantedEntry(const std::string& instance) const {
     return !wanted_entries_.has_value() || wanted_entries_->contains(instance);
   }
-  bool Wants(const DialTarget& target,
-             const std::set<std::string>& wanted) const;
+  bool ShouldDial(const DialTarget& target,
+                  const std::set<std::string>& wanted) const;
 
   Options options_;
   InstanceInfo self_;
@@ -192,12 +202,12 @@
   std::map<std::string, Member> members_;
   std::unordered_map<LinkId, Link> links_;
   std::map<std::string, DialTarget> targets_;
-  std::set<std::string> also_wanted_;
+  std::set<std::string> extra_wanted_agents_;
   std::optional<std::set<std::string>> wanted_entries_;
   sigc::signal<void(const Member&)> signal_up_;
   sigc::signal<void(LinkId)> signal_link_dropped_;
   sigc::signal<void(const PeerId&, Role)> signal_lost_;
-  sigc::signal<void(const PeerId&)> signal_unmet_;
+  sigc::signal<void(const PeerId&)> signal_never_connected_;
   sigc::signal<void(const PeerId&, Role)> signal_leaving_;
 };
 
--- a/lavenderkeel/membership/registration.h
+++ b/lavenderkeel/membership/registration.h
@@ -11,17 +11,18 @@
 
 namespace lavenderkeel {
 
-/// Keeps this process's own registration at the platform, and reads the
-/// instance list now and then as a hint whom to dial.
+/// Keeps this process's own registration at the platform up to date, and reads
+/// the instance list periodically as a hint which instances to dial.
 class Registration {
  public:
   using OnInstances = std::function<void(const std::vector<InstanceInfo>&)>;
 
   struct Options {
-    /// Between two reads of the list; each process adds jitter of its own, so
-    /// that a fleet's reads spread evenly over the platform's budget.
+    /// Interval between two reads of the list; each process adds its own
+    /// jitter, so that the reads of a fleet spread evenly over the budget of
+    /// the platform.
     Duration list_period = std::chrono::seconds(10);
-    /// Shorter until the first list came.
+    /// Shorter interval until the first list is read.
     Duration first_list_period = std::chrono::milliseconds(500);
     bool read_list = true;
   };
@@ -37,7 +38,7 @@
   void Tick();
   /// Writes the state `leaving` into the registration.
   void Leave();
-  /// The instance list was read at least once.
+  /// Returns true if the instance list was read at least once.
   bool has_list() const { return has_list_; }
 
  private:
--- a/test/claim/claim_table_test.cc
+++ b/test/claim/claim_table_test.cc
@@ -10,8 +10,10 @@
 
 struct Holder {
   fuzz::VirtualClock clock;
-  bool met = true;
-  ClaimTable table{{}, clock, [this](const RequestKey&) { return met; }};
+  bool knows_every_claim = true;
+  ClaimTable table{{}, clock, [this](const RequestKey&) {
+                     return knows_every_claim;
+                   }};
   std::mt19937_64 random{1};
 
   RequestKey KeySentNow() { return RequestKey::Mint(clock.WallNow(), random); }
@@ -23,14 +25,14 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(VouchesOnlyForKeysSentSinceItCould) {
+BOOST_AUTO_TEST_CASE(VouchesOnlyForKeysWhoseClaimsItKnows) {
   Holder holder;
   const RequestKey before = holder.KeySentNow();
   holder.clock.Advance(std::chrono::seconds(5));
   BOOST_TEST(!holder.table.Request(before, ClaimOf("a"), {}).vouched);
   BOOST_TEST(
       holder.table.Request(holder.KeySentNow(), ClaimOf("a"), {}).vouched);
-  holder.met = false;
+  holder.knows_every_claim = false;
   BOOST_TEST(
       !holder.table.Request(holder.KeySentNow(), ClaimOf("a"), {}).vouched);
 }
@@ -49,9 +51,9 @@
   BOOST_TEST(!holder.table.Request(key, other_body, {}).granted);
 }
 
-// An entry believes the owner dead, asks the claim's agents and takes it over.
-// Meanwhile the owner, which lives, has added an agent that nobody asked: the
-// take-over is refused and shows that agent.
+// Guards against a second run when an entry takes over the claim of an owner
+// that it believes dead: the live owner has meanwhile added an agent that was
+// not asked. The take-over is refused and returns that agent.
 BOOST_AUTO_TEST_CASE(TakeOverIsRefusedWhereAnAgentWasNotAsked) {
   Holder holder;
   const RequestKey key = holder.KeySentNow();
@@ -70,9 +72,9 @@
   BOOST_TEST(holder.table.Request(key, taken, ClaimOf("a").owner).granted);
 }
 
-// Entries that leave together hand their claims to each other. What a table
-// holds already is no news and must not be passed on again; a new owner is.
-BOOST_AUTO_TEST_CASE(OnlyNewsOfAClaimChangesTheTable) {
+// Entries that leave together hand their claims to each other. A claim that the
+// table holds already must not be passed on again; a new owner must.
+BOOST_AUTO_TEST_CASE(OnlyNewInformationChangesAClaim) {
   Holder holder;
   const RequestKey key = holder.KeySentNow();
   Claim claim = ClaimOf("a");
@@ -87,9 +89,9 @@
   BOOST_TEST(holder.table.Request(key, taken, claim.owner).changed);
 }
 
-// A holder of the key is silent, so the platform is asked. Until its owner has
-// the word nobody may take the claim over, or the key would run for both; and
-// never if the platform gave the key to the other side.
+// A holder of the key is without contact, so the platform decides. If another
+// entry could take the claim over before its owner has the decision, or after
+// the platform refused the owner, the request would run for both.
 BOOST_AUTO_TEST_CASE(ClaimIsConfirmedOnceThePlatformHasDecided) {
   fuzz::VirtualClock clock;
   ClaimTable table(
@@ -108,9 +110,9 @@
   BOOST_TEST(table.Lookup(key).claim.confirmed);
 }
 
-// The holder's own view is full, the claimer's is not: the claim is the
-// claimer's to confirm, and a refusal takes back what the holder took for sure.
-BOOST_AUTO_TEST_CASE(ClaimerWithALesserViewDecidesOnTheClaim) {
+// The holder's view is full and the claimer's is not: only the claimer confirms
+// the claim, and a refusal revokes a claim that the holder had confirmed.
+BOOST_AUTO_TEST_CASE(ClaimerWithoutFullCoverageConfirmsTheClaim) {
   Holder holder;
   holder.clock.Advance(std::chrono::seconds(5));
   const RequestKey key = holder.KeySentNow();
@@ -126,8 +128,8 @@
   BOOST_TEST(!holder.table.Lookup(other).claim.confirmed);
 }
 
-// The table is full and drops a claim early: it may be that of any key up to
-// now, so none of them is vouched for any more.
+// A full table drops a claim early. The claim may belong to any key first sent
+// before now, so none of these keys is vouched for any more.
 BOOST_AUTO_TEST_CASE(DroppedClaimsAreNotVouchedFor) {
   Holder holder;
   ClaimTable table({.capacity = 2}, holder.clock,
--- a/test/claim/holder_ranking_test.cc
+++ b/test/claim/holder_ranking_test.cc
@@ -18,25 +18,25 @@
 const WallTime kStart = kSent - std::chrono::seconds(60);
 const WallTime kAfter = kSent + std::chrono::seconds(5);
 
-RequestKey KeySent(uint64_t noise) {
-  std::mt19937_64 random(noise);
+RequestKey KeySent(uint64_t seed) {
+  std::mt19937_64 random(seed);
   return RequestKey::Mint(kSent, random);
 }
 
 }  // namespace
 
-// The claim was made at the first two. Whoever is lost afterwards, no entry
-// outside those two may vouch that the key is unused.
+// Guards against a second run after both holders of a claim are lost: no entry
+// other than the first two may vouch that the key is unused.
 RC_BOOST_PROP(OnlyFormerHoldersMayVouch,
-              (uint64_t noise, const std::vector<uint8_t>& lost)) {
+              (uint64_t seed, const std::vector<uint8_t>& lost)) {
   HolderRanking ranking({});
   for (int i = 0; i < 6; ++i) {
     ranking.SetPresent(Entry(i), kStart);
   }
-  const RequestKey key = KeySent(noise);
+  const RequestKey key = KeySent(seed);
   const std::vector<std::string> holders = ranking.Holders(key);
   for (const uint8_t which : lost) {
-    // Restarted, or gone for good.
+    // The entry restarts or is gone for good.
     ranking.SetLost(Entry(which % 6), kAfter);
     if (which >= 128) {
       ranking.SetPresent(Entry(which % 6, 2), kAfter);
@@ -63,8 +63,8 @@
 
 constexpr Duration kSecond = std::chrono::seconds(1);
 
-/// Six entries that count each other, as the first of them sees it.
-HolderRanking SixThatAgree() {
+/// Six entries that know each other, as seen by the first of them.
+HolderRanking SixEntriesWithSameView() {
   HolderRanking ranking({});
   ranking.SetSelf(Entry(0), kStart);
   for (int i = 1; i < 6; ++i) {
@@ -82,13 +82,14 @@
 
 }  // namespace
 
-// A holder is lost for good. The keys that rank it are the platform's to
-// decide, all others are as before, and only the other holder is a witness.
-RC_BOOST_PROP(OneLostHolderLeavesItsKeysToThePlatform, (uint64_t noise)) {
-  HolderRanking ranking = SixThatAgree();
-  const RequestKey key = KeySent(noise);
+// A holder is lost for good. The platform decides the keys that rank it, all
+// other keys are unaffected, and only the other holder knows the claims of
+// both.
+RC_BOOST_PROP(OneLostHolderLeavesItsKeysToThePlatform, (uint64_t seed)) {
+  HolderRanking ranking = SixEntriesWithSameView();
+  const RequestKey key = KeySent(seed);
   const std::vector<std::string> holders = ranking.Holders(key);
-  const int lost = 1 + static_cast<int>(noise % 5);
+  const int lost = 1 + static_cast<int>(seed % 5);
   ranking.SetLost(Entry(lost), kSent - 10 * kSecond);
   const bool held =
       std::ranges::find(holders, Entry(lost).instance) != holders.end();
@@ -102,22 +103,22 @@
   }
 }
 
-// Both holders are lost: together they may have granted the key without the
-// platform, so nobody here can decide it.
-RC_BOOST_PROP(TwoLostHoldersLeaveNobodyToDecide, (uint64_t noise)) {
-  HolderRanking ranking = SixThatAgree();
-  const RequestKey key = KeySent(noise);
+// Both holders are lost and may have granted the key together without the
+// platform, so no entry here can decide it.
+RC_BOOST_PROP(TwoLostHoldersLeaveNoCoverage, (uint64_t seed)) {
+  HolderRanking ranking = SixEntriesWithSameView();
+  const RequestKey key = KeySent(seed);
   for (const std::string& holder : ranking.Holders(key)) {
     ranking.SetLost(Entry(NumberOf(holder)), kSent - 10 * kSecond);
   }
   RC_ASSERT(ranking.Coverage(key) == HolderCoverage::kNone);
 }
 
-// Another entry counts one that we have not heard of. With the lost holder it
-// may grant the key without the platform; as long as views differ, nobody
-// decides.
-BOOST_AUTO_TEST_CASE(DifferentViewsLeaveNobodyToDecide) {
-  HolderRanking ranking = SixThatAgree();
+// Another entry knows one that is unknown here, and may grant the key together
+// with the lost holder and without the platform. While views differ, no entry
+// can decide the key.
+BOOST_AUTO_TEST_CASE(DifferentViewsLeaveNoCoverage) {
+  HolderRanking ranking = SixEntriesWithSameView();
   const RequestKey key = KeySent(1);
   const int lost = std::max(NumberOf(ranking.Holders(key).front()),
                             NumberOf(ranking.Holders(key).back()));
@@ -130,9 +131,9 @@
   BOOST_TEST((ranking.Coverage(key) == HolderCoverage::kPlatformDecides));
 }
 
-// The lost one itself counted others than we when it was last heard.
-BOOST_AUTO_TEST_CASE(LostEntryWithAnotherViewLeavesNobodyToDecide) {
-  HolderRanking ranking = SixThatAgree();
+// The lost entry itself had a different view when it was last heard from.
+BOOST_AUTO_TEST_CASE(LostEntryWithAnotherViewLeavesNoCoverage) {
+  HolderRanking ranking = SixEntriesWithSameView();
   const RequestKey key = KeySent(1);
   const int lost = std::max(NumberOf(ranking.Holders(key).front()),
                             NumberOf(ranking.Holders(key).back()));
@@ -141,11 +142,11 @@
   BOOST_TEST((ranking.Coverage(key) == HolderCoverage::kNone));
 }
 
-// An entry joins after the loss and ranks above the lost one, which on its side
-// still takes itself for a holder of the key.
-RC_BOOST_PROP(LaterEntryDoesNotTakeTheLostOnesPlace, (uint64_t noise)) {
-  HolderRanking ranking = SixThatAgree();
-  const RequestKey key = KeySent(noise);
+// An entry that joins after the loss ranks above the lost one, which on its
+// side of a partition still counts itself as a holder of the key.
+RC_BOOST_PROP(LaterEntryDoesNotReplaceALostHolder, (uint64_t seed)) {
+  HolderRanking ranking = SixEntriesWithSameView();
+  const RequestKey key = KeySent(seed);
   const std::vector<std::string> before = ranking.Holders(key);
   const int lost = std::max(NumberOf(before.front()), NumberOf(before.back()));
   ranking.SetLost(Entry(lost), kSent - 20 * kSecond);
@@ -155,11 +156,11 @@
   RC_ASSERT(ranking.Coverage(key) != HolderCoverage::kFull);
 }
 
-// The lost one was alone with a key, had the platform give it to it, ran it and
-// died. Its successor is here and has none of it: the key is the platform's
-// still, keys from after the successor are not.
-BOOST_AUTO_TEST_CASE(KeysFromBeforeASuccessorAreThePlatforms) {
-  HolderRanking ranking = SixThatAgree();
+// A lost entry was granted a key by the platform, ran the request and died; its
+// successor has no record of it. The platform still decides keys older than the
+// successor, and no later ones.
+BOOST_AUTO_TEST_CASE(PlatformDecidesKeysOlderThanASuccessor) {
+  HolderRanking ranking = SixEntriesWithSameView();
   const RequestKey key = KeySent(1);
   const int lost = std::max(NumberOf(ranking.Holders(key).front()),
                             NumberOf(ranking.Holders(key).back()));
@@ -171,9 +172,9 @@
   BOOST_TEST((ranking.Coverage(later) == HolderCoverage::kFull));
 }
 
-// It was cut off only and is linked again, with all that it granted.
-BOOST_AUTO_TEST_CASE(EntryThatComesBackIsAskedAgain) {
-  HolderRanking ranking = SixThatAgree();
+// The entry was only cut off and reconnects with all claims that it granted.
+BOOST_AUTO_TEST_CASE(ReconnectedEntryCountsAgain) {
+  HolderRanking ranking = SixEntriesWithSameView();
   const RequestKey key = KeySent(1);
   const int lost = std::max(NumberOf(ranking.Holders(key).front()),
                             NumberOf(ranking.Holders(key).back()));
--- a/test/claim/key_register_test.cc
+++ b/test/claim/key_register_test.cc
@@ -12,8 +12,8 @@
 
 using Decision = KeyRegister::Decision;
 
-/// Registers of two entries at one platform, whose answers come when the test
-/// carries the calls out.
+/// Arbiters of two entries at one platform; calls are answered when the test
+/// executes them.
 struct TwoEntries {
   struct Entry {
     Entry(const std::string& name, TwoEntries& both)
@@ -35,8 +35,8 @@
     }
   };
 
-  /// Carries out what the entry asked of the platform.
-  void Carry(Entry& entry) {
+  /// Executes the calls that the entry made to the platform.
+  void ExecuteCalls(Entry& entry) {
     for (auto actions = entry.outbox.Take(); !actions.empty();
          actions = entry.outbox.Take()) {
       for (const Action& action : actions) {
@@ -63,53 +63,54 @@
   const RequestKey key = both.NewKey();
   both.first.Decide(key);
   both.second.Decide(key);
-  both.Carry(both.second);
-  both.Carry(both.first);
+  both.ExecuteCalls(both.second);
+  both.ExecuteCalls(both.first);
   BOOST_TEST((both.second.decision == Decision::kOurs));
   BOOST_TEST((both.first.decision == Decision::kTaken));
   both.second.Decide(key);
-  both.Carry(both.second);
+  both.ExecuteCalls(both.second);
   BOOST_TEST((both.second.decision == Decision::kOurs));
 }
 
-// The platform takes the write and its answer is lost. The entry may not count
-// on the key; asked once more it reads that the key is its own.
+// The platform accepts the write but its answer is lost. The entry must not use
+// the key; a second attempt reads that the entry owns it.
 BOOST_AUTO_TEST_CASE(LostAnswerLeavesTheKeyUndecided) {
   TwoEntries both;
   const RequestKey key = both.NewKey();
   both.platform.set_mode(fakes::PlatformCore::Mode::kLoseWriteAnswers);
   both.first.Decide(key);
-  both.Carry(both.first);
+  both.ExecuteCalls(both.first);
   BOOST_TEST((both.first.decision == Decision::kUndecided));
   both.platform.set_mode(fakes::PlatformCore::Mode::kUp);
   both.clock.Advance(std::chrono::seconds(2));
   both.first.Decide(key);
-  both.Carry(both.first);
+  both.ExecuteCalls(both.first);
   BOOST_TEST((both.first.decision == Decision::kOurs));
 }
 
-// The platform is away. After the first failure callers are answered without
-// asking, so that none of them waits for it; a second later it is asked again.
-BOOST_AUTO_TEST_CASE(PlatformThatIsAwayIsNotWaitedFor) {
+// After the first failed call to an unavailable platform, callers are answered
+// without a call, so that none of them waits; a second later the platform is
+// called again.
+BOOST_AUTO_TEST_CASE(UnavailablePlatformIsNotWaitedFor) {
   TwoEntries both;
   both.platform.set_mode(fakes::PlatformCore::Mode::kOutage);
   both.first.Decide(both.NewKey());
-  both.Carry(both.first);
+  both.ExecuteCalls(both.first);
   both.first.Decide(both.NewKey());
   BOOST_TEST((both.first.decision == Decision::kUndecided));
   BOOST_TEST(both.first.outbox.Take().empty());
   both.platform.set_mode(fakes::PlatformCore::Mode::kUp);
   both.clock.Advance(std::chrono::seconds(2));
   both.first.Decide(both.NewKey());
-  both.Carry(both.first);
+  both.ExecuteCalls(both.first);
   BOOST_TEST((both.first.decision == Decision::kOurs));
 }
 
-// More keys wait for the platform than it should be asked for at a time.
-BOOST_AUTO_TEST_CASE(KeysBeyondTheBoundAreUndecidedAtOnce) {
+// More keys wait for the platform than the limit allows.
+BOOST_AUTO_TEST_CASE(KeysBeyondTheLimitAreUndecidedAtOnce) {
   TwoEntries both;
-  const size_t bound = KeyRegister::Options{}.most_open;
-  for (size_t i = 0; i < bound; ++i) {
+  const size_t limit = KeyRegister::Options{}.max_pending_keys;
+  for (size_t i = 0; i < limit; ++i) {
     both.first.Decide(both.NewKey());
     BOOST_TEST(!both.first.decision.has_value());
   }
@@ -118,21 +119,21 @@
 }
 
 // Objects are deleted once no entry vouches for their keys, also those of an
-// entry that died; younger ones stay.
+// entry that died; younger objects stay.
 BOOST_AUTO_TEST_CASE(ObjectsPastTheRetentionAreDeleted) {
   TwoEntries both;
   const RequestKey old = both.NewKey();
   both.first.Decide(old);
-  both.Carry(both.first);
+  both.ExecuteCalls(both.first);
   both.clock.Advance(std::chrono::minutes(13));
   const RequestKey young = both.NewKey();
   both.first.Decide(young);
-  both.Carry(both.first);
+  both.ExecuteCalls(both.first);
   both.second.key_register.Tick();
   both.clock.Advance(std::chrono::minutes(6));
   for (int i = 0; i < 3; ++i) {
     both.second.key_register.Tick();
-    both.Carry(both.second);
+    both.ExecuteCalls(both.second);
   }
   BOOST_TEST(both.platform.objects().size() == 1U);
   BOOST_TEST(both.platform.objects().contains("lavenderkeel/keys/" +
--- a/test/membership/coordinators_test.cc
+++ b/test/membership/coordinators_test.cc
@@ -27,12 +27,12 @@
   BOOST_TEST(ChooseCoordinators(Entries(4, 0), {}).size() == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(CoordinatorsGrowWithTheRootOfTheFleet) {
+BOOST_AUTO_TEST_CASE(CoordinatorsGrowWithTheSquareRootOfTheFleet) {
   BOOST_TEST(ChooseCoordinators(Entries(16, 0), {}).size() == 6U);
   BOOST_TEST(ChooseCoordinators(Entries(100, 0), {}).size() == 12U);
 }
 
-BOOST_AUTO_TEST_CASE(LargeFleetHasNoMoreThanTheMost) {
+BOOST_AUTO_TEST_CASE(LargeFleetDoesNotExceedTheMaximum) {
   BOOST_TEST(ChooseCoordinators(Entries(300, 0), {}).size() == 16U);
 }
 
@@ -44,14 +44,15 @@
   }
 }
 
-// One strong entry alone would take all gates with it when it dies.
+// If a single strong entry were the only coordinator, its death would end all
+// slot schedulers.
 BOOST_AUTO_TEST_CASE(WeakEntriesMakeUpForTooFewStrongOnes) {
   const std::set<std::string> chosen = ChooseCoordinators(Entries(30, 1), {});
   BOOST_TEST(chosen.size() == 4U);
   BOOST_TEST(chosen.contains("entry-0"));
 }
 
-BOOST_AUTO_TEST_CASE(LossOfACoordinatorBringsOneOther) {
+BOOST_AUTO_TEST_CASE(LossOfACoordinatorAddsOneOther) {
   std::vector<InstanceInfo> all = Entries(60, 0);
   const std::set<std::string> before = ChooseCoordinators(all, {});
   std::erase_if(all, [&](const InstanceInfo& info) {
--- a/test/membership/member_table_test.cc
+++ b/test/membership/member_table_test.cc
@@ -26,10 +26,11 @@
 
 }  // namespace
 
-// The caller sees 429 below its team's rate: the entries count one of them as
-// out of reach. It dialled the others; before they dialled back, a list that
-// did not name it yet made them forget its address, and none ever heard of it.
-BOOST_AUTO_TEST_CASE(EntryThatDialledUsIsDialledThoughNoListNamesIt) {
+// Guards against 429 answers below the rate of a team, which follow if the
+// entries count one of them as unreachable. That entry had dialled the others;
+// before they dialled back, an instance list that did not name it yet made them
+// forget its address, which none of them learnt again.
+BOOST_AUTO_TEST_CASE(InboundEntryIsDialledThoughNoListNamesIt) {
   fuzz::VirtualClock clock;
   std::mt19937_64 random(1);
   Outbox outbox;
