--- a/lavenderkeel/watch/object_watch.cc
+++ b/lavenderkeel/watch/object_watch.cc
@@ -37,8 +37,8 @@
 }
 
 void ObjectWatch::Watch() {
-  // In an outage the answer itself is the news. A watch that waits would be
-  // told from a dead connection only seconds after the store is back.
+  // In an outage any answer ends the outage. A waiting watch could be told from
+  // one on a dead connection only seconds after the store is available again.
   WatchWithin(outage() ? Duration::zero() : options_.wait);
 }
 
@@ -52,22 +52,22 @@
 }
 
 void ObjectWatch::Read(ObjectRead read) {
-  pending_ = ++last_call_;
+  pending_call_ = ++last_call_;
   pending_kind_ = read.kind;
-  hooks_.read(pending_, read);
+  hooks_.read(pending_call_, read);
 }
 
 void ObjectWatch::OnResult(uint64_t call, const ObjectReadResult& result) {
-  // Failure: the answer to a read from before a freeze or a reconnect comes
-  // after a newer one. Symptom: an object goes back to a former state. Only
-  // the answer to the last read counts.
-  if (call != pending_) {
+  // The answer to a read from before a freeze or a reconnect may arrive after a
+  // newer one and would revert an object to a former state. Only the answer to
+  // the last read counts.
+  if (call != pending_call_) {
     return;
   }
-  pending_ = 0;
+  pending_call_ = 0;
   switch (result.outcome) {
     case ObjectReadResult::Outcome::kOk:
-      NoteAnswer();
+      RecordAnswer();
       if (result.unreadable > 0) {
         log_.Warn("objects_unreadable", {{"kind", options_.object_kind},
                                          {"objects", result.unreadable},
@@ -94,7 +94,7 @@
   }
 }
 
-void ObjectWatch::NoteAnswer() {
+void ObjectWatch::RecordAnswer() {
   backoff_.Reset();
   answered_at_ = clock_.Now();
   if (std::exchange(failures_, 0) > 0) {
@@ -106,8 +106,9 @@
 void ObjectWatch::OnListed(const ObjectReadResult& result) {
   const bool first_page = listed_.empty();
   listed_.insert(listed_.end(), result.objects.begin(), result.objects.end());
-  // Later pages may show later changes; the watch goes on from the first, so
-  // that a change to an object of a page already read is not missed.
+  // Later pages may show later changes; the watch continues from the revision
+  // of the first page, so that a change to an object of a page already read is
+  // not missed.
   revision_ = first_page ? result.revision : revision_;
   if (result.more && !result.objects.empty()) {
     List(result.objects.back().name);
@@ -139,13 +140,13 @@
 }
 
 void ObjectWatch::OnToldBy(uint64_t revision) {
-  if (revision <= std::max(revision_, told_)) {
+  if (revision <= std::max(revision_, reported_revision_)) {
     return;
   }
-  if (told_ <= revision_) {
-    told_at_ = clock_.Now();
+  if (reported_revision_ <= revision_) {
+    reported_at_ = clock_.Now();
   }
-  told_ = revision;
+  reported_revision_ = revision;
 }
 
 void ObjectWatch::SetPaused(bool paused) {
@@ -153,8 +154,8 @@
   if (!paused || must_list_) {
     return;
   }
-  // An answer to what is still asked is of no use any more.
-  pending_ = 0;
+  // The answer to a pending read is no longer needed.
+  pending_call_ = 0;
   if (std::exchange(failures_, 0) > 0) {
     hooks_.on_return();
   }
@@ -163,15 +164,17 @@
 void ObjectWatch::OnFed(uint64_t revision) {
   revision_ = std::max(revision_, revision);
   last_change_ = std::max(last_change_, revision);
-  // Failure: a list that was asked for before is answered after this. Symptom:
-  // a server that is leaving goes back to being ready.
-  pending_ = 0;
+  // A list requested before may be answered after this and would set a leaving
+  // server back to ready.
+  pending_call_ = 0;
   must_list_ = false;
 }
 
 void ObjectWatch::Confirm() {
-  const bool waits = pending_ != 0 && pending_kind_ == ObjectRead::Kind::kWatch;
-  if (!waits || outage() || clock_.Now() - answered_at_ < options_.fresh) {
+  const bool waits =
+      pending_call_ != 0 && pending_kind_ == ObjectRead::Kind::kWatch;
+  if (!waits || outage() ||
+      clock_.Now() - answered_at_ < options_.max_fresh_age) {
     return;
   }
   WatchWithin(Duration::zero());
@@ -188,15 +191,16 @@
 }
 
 void ObjectWatch::Tick() {
-  // Failure: the connection of a waiting watch went silent while a server left.
-  // Symptom: it gets requests until the wait is over, although the store said
-  // so long ago. Others' reports show that there is a change.
+  // The connection of a waiting watch may become unresponsive while a server
+  // leaves. The server would get requests until the wait is over, although the
+  // store has long recorded the change. Reports of others reveal it.
   const TimePoint now = clock_.Now();
-  if (told_ > revision_ && now - told_at_ >= options_.told_by_others) {
-    told_at_ = now;
+  if (reported_revision_ > revision_ &&
+      now - reported_at_ >= options_.peer_report_delay) {
+    reported_at_ = now;
     Confirm();
   }
-  if (pending_ != 0 || last_call_ == 0 || now < retry_at_ ||
+  if (pending_call_ != 0 || last_call_ == 0 || now < retry_at_ ||
       (paused_ && !must_list_)) {
     return;
   }
--- a/lavenderkeel/watch/object_watch.h
+++ b/lavenderkeel/watch/object_watch.h
@@ -13,25 +13,25 @@
 
 namespace lavenderkeel {
 
-/// One object of the platform's store.
+/// Object in the platform's store.
 struct StoredObject {
   std::string name;
   uint64_t revision = 0;
   bool removed = false;
-  /// What its writer put there, as JSON text.
+  /// Set by the writer of the object, as JSON text.
   std::string content;
-  /// What those who act on it wrote beside it, as JSON text; empty if nothing.
+  /// Set by those who act on the object, as JSON text; empty if not set.
   std::string status = {};
-  /// The revision at which it was made.
+  /// The revision at which the object was created.
   uint64_t created = 0;
 
   friend bool operator==(const StoredObject&, const StoredObject&) = default;
 };
 
-/// A read that an ObjectWatch wants made.
+/// Read requested by an ObjectWatch.
 struct ObjectRead {
   enum class Kind {
-    /// A page of all objects, those behind `after_name`.
+    /// A page of all objects, those after `after_name`.
     kList,
     /// Changes after `revision`, waiting up to `wait` for one.
     kWatch,
@@ -42,7 +42,7 @@
   std::string after_name;
   uint64_t revision = 0;
   Duration wait{};
-  /// Without an answer by then the connection counts as silent.
+  /// Without an answer within this time the connection counts as unresponsive.
   Duration timeout{};
 
   friend bool operator==(const ObjectRead&, const ObjectRead&) = default;
@@ -51,18 +51,18 @@
 struct ObjectReadResult {
   enum class Outcome {
     kOk,
-    /// The changes asked for are not kept any more.
+    /// The requested changes are no longer kept.
     kHistoryGone,
-    /// The store said no, for now.
+    /// The store refused the read, for now.
     kRefused,
     kNoAnswer,
   };
 
   Outcome outcome = Outcome::kNoAnswer;
   std::vector<StoredObject> objects;
-  /// Objects whose names can't be read, and that are left out.
+  /// Objects whose names cannot be read; they are left out.
   size_t unreadable = 0;
-  /// Of a list: there are further pages.
+  /// Further pages of the list follow.
   bool more = false;
   /// The store's revision as of this answer.
   uint64_t revision = 0;
@@ -72,42 +72,47 @@
 };
 
 /// Follows all objects of one kind: lists them, then watches for changes, and
-/// lists anew whenever changes may have been missed. Steps without sockets.
+/// lists again whenever changes may have been missed. Performs no I/O itself.
 class ObjectWatch {
  public:
   struct Options {
     std::string object_kind;
-    /// How long the store may hold a watch. A watch whose connection went
-    /// silent is noticed only this long (and the grace) after the last answer,
-    /// unless others tell of a change first, and each answer costs a call.
+    /// How long the store may hold a watch. A watch on an unresponsive
+    /// connection is noticed only this long (and the grace) after the last
+    /// answer, unless others report a change first, and each answer costs a
+    /// call.
     Duration wait = std::chrono::milliseconds(2000);
-    /// Beyond the wait, for the way and a slow store.
+    /// Beyond the wait, for the network and a slow store.
     Duration grace = std::chrono::milliseconds(800);
-    /// Sixty times the store's usual answer; a longer one means that nobody
-    /// listens, and the next try may find it back.
+    /// Sixty times the usual answer time of the store; a longer one means that
+    /// the store is unavailable, and the next attempt may find it available
+    /// again.
     Duration list_timeout = std::chrono::milliseconds(700);
-    /// After changes the next watch waits this long, so that a wave of them
-    /// (a release, the servers of a start) costs a call for all, not for each.
-    /// An eighth of the time in which a change has to be in force.
+    /// After changes the next watch waits this long, so that a burst of them (a
+    /// release, the servers of a start) costs one call rather than one for
+    /// each. An eighth of the time in which a change has to be in force.
     Duration gather = std::chrono::milliseconds(250);
-    /// A change that others tell of and this watch does not is read after this
-    /// time: whoever gathers has it by then.
-    Duration told_by_others = std::chrono::milliseconds(600);
-    /// After an answer this fresh there is nothing to confirm.
-    Duration fresh = std::chrono::milliseconds(500);
+    /// A change that others report and this watch has not received is read
+    /// after this time: a watch that only delays to batch changes has received
+    /// it by then.
+    Duration peer_report_delay = std::chrono::milliseconds(600);
+    /// After an answer at most this old there is nothing to confirm.
+    Duration max_fresh_age = std::chrono::milliseconds(500);
     Backoff::Options retry = {.first = std::chrono::milliseconds(100),
                               .longest = std::chrono::milliseconds(500)};
   };
 
   struct Hooks {
-    /// Makes the read; the answer comes through OnResult with the same number.
+    /// Performs the read; the answer is passed to OnResult with the same
+    /// number.
     std::function<void(uint64_t call, const ObjectRead&)> read;
-    /// All objects, after which only changes are told.
+    /// All objects, after which only changes are reported.
     std::function<void(const std::vector<StoredObject>&)> on_list;
     std::function<void(const StoredObject&)> on_change;
-    /// The store does not answer; what was told last may be out of date.
+    /// The store does not answer; what was reported last may be out of date.
     std::function<void()> on_outage;
-    /// It answers again; told before the list or changes that it brings.
+    /// The store answers again; called before the list or changes that the
+    /// answer brings.
     std::function<void()> on_return;
   };
 
@@ -118,29 +123,30 @@
               const EventLog& log);
 
   void Start();
-  /// Reads everything anew, as after a freeze; a pending answer is ignored.
+  /// Reads everything again, as after a freeze; a pending answer is ignored.
   void Restart();
   void OnResult(uint64_t call, const ObjectReadResult& result);
   void Tick();
 
-  /// Somebody else has seen a change of this revision.
+  /// Handles a report that a peer has seen a change of this revision.
   void OnToldBy(uint64_t revision);
-  /// Asks the store now instead of waiting on: the watch may wait for an answer
-  /// on a connection that went silent. Does nothing after a fresh answer.
+  /// Asks the store now instead of waiting on: the watch may wait on an
+  /// unresponsive connection. Does nothing after a recent answer.
   void Confirm();
-  /// For the watches from now on.
+  /// Sets the wait of the watches from now on.
   void set_wait(Duration wait) { options_.wait = wait; }
-  /// While paused it asks the store nothing, since somebody else tells of the
-  /// changes; see OnFed. It goes on from the latest that was told. A list that
-  /// is being read is read to its end first.
+  /// While paused, sends no reads to the store, since a peer supplies the
+  /// changes; see OnFed. Continues from the latest revision supplied. A list
+  /// that is being read is completed first.
   void SetPaused(bool paused);
-  /// Somebody else told of all changes up to the revision.
+  /// Handles that a peer has supplied all changes up to the revision.
   void OnFed(uint64_t revision);
 
   uint64_t revision() const { return revision_; }
-  /// Of the latest change told here.
+  /// Revision of the latest change received.
   uint64_t last_change() const { return last_change_; }
-  /// It failed to answer more than once in a row: a single watch may be cut.
+  /// Returns true if the store failed to answer more than once in a row: a
+  /// single watch may be cut off.
   bool lost() const { return failures_ > 1; }
   uint64_t calls() const { return last_call_; }
 
@@ -153,7 +159,7 @@
   void OnListed(const ObjectReadResult& result);
   void OnChanges(const ObjectReadResult& result);
   void RetryLater(const char* why);
-  void NoteAnswer();
+  void RecordAnswer();
 
   Options options_;
   Hooks hooks_;
@@ -162,20 +168,20 @@
   const EventLog& log_;
   Backoff backoff_;
   uint64_t last_call_ = 0;
-  /// The call whose answer counts; zero while waiting to try again.
-  uint64_t pending_ = 0;
+  /// The call whose answer counts; zero while waiting for a retry.
+  uint64_t pending_call_ = 0;
   ObjectRead::Kind pending_kind_ = ObjectRead::Kind::kList;
   TimePoint retry_at_;
   bool must_list_ = true;
   bool paused_ = false;
-  /// Reads in a row that brought nothing.
+  /// Consecutive reads without a result.
   int failures_ = 0;
   TimePoint answered_at_;
   uint64_t revision_ = 0;
   uint64_t last_change_ = 0;
-  /// Told of by others, and since when.
-  uint64_t told_ = 0;
-  TimePoint told_at_;
+  /// Latest revision reported by others, and since when.
+  uint64_t reported_revision_ = 0;
+  TimePoint reported_at_;
   std::vector<StoredObject> listed_;
 };
 
--- a/test/watch/object_watch_test.cc
+++ b/test/watch/object_watch_test.cc
@@ -14,7 +14,7 @@
 using ReadOutcome = ObjectReadResult::Outcome;
 using Kind = ObjectRead::Kind;
 
-/// A watch whose reads are answered by hand.
+/// Watch whose reads the test answers.
 struct Harness {
   struct Call {
     uint64_t number = 0;
@@ -25,7 +25,7 @@
   std::mt19937_64 random{1};
   EventLog log;
   std::deque<Call> calls;
-  std::vector<std::string> told;
+  std::vector<std::string> events;
   ObjectWatch watch{
       {.object_kind = "servers"},
       {.read =
@@ -38,15 +38,15 @@
              for (const StoredObject& object : objects) {
                text += " " + object.name;
              }
-             told.push_back(text);
+             events.push_back(text);
            },
        .on_change =
            [this](const StoredObject& object) {
-             told.push_back((object.removed ? "removed " : "changed ") +
-                            object.name);
+             events.push_back((object.removed ? "removed " : "changed ") +
+                              object.name);
            },
-       .on_outage = [this] { told.emplace_back("outage"); },
-       .on_return = [this] { told.emplace_back("return"); }},
+       .on_outage = [this] { events.emplace_back("outage"); },
+       .on_return = [this] { events.emplace_back("recovery"); }},
       clock,
       random,
       log};
@@ -72,7 +72,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(PagesAreJoinedAndTheWatchGoesOnFromTheFirst) {
+BOOST_AUTO_TEST_CASE(PagesAreJoinedAndTheWatchContinuesFromTheFirst) {
   Harness h;
   h.watch.Start();
   h.Answer(h.Take(), {.outcome = ReadOutcome::kOk,
@@ -84,24 +84,24 @@
   h.Answer(
       second,
       {.outcome = ReadOutcome::kOk, .objects = {Object("b")}, .revision = 12});
-  BOOST_TEST((h.told == std::vector<std::string>{"list a b"}));
+  BOOST_TEST((h.events == std::vector<std::string>{"list a b"}));
   const Harness::Call watch = h.Take();
   BOOST_TEST((watch.read.kind == Kind::kWatch));
   BOOST_TEST(watch.read.revision == 10U);
   h.Answer(watch, {.outcome = ReadOutcome::kOk,
                    .objects = {Object("b", /*removed=*/true)},
                    .revision = 13});
-  BOOST_TEST(h.told.back() == "removed b");
-  // Further changes of the same wave come with the next call.
+  BOOST_TEST(h.events.back() == "removed b");
+  // Further changes of the same burst come with the next call.
   h.watch.Tick();
   BOOST_TEST(h.calls.empty());
   h.TickLater();
   BOOST_TEST(h.Take().read.revision == 13U);
 }
 
-// The store drops its history while a change is made. The entry would never
-// learn of the change by watching on; it lists anew.
-BOOST_AUTO_TEST_CASE(GoneHistoryIsListedAnew) {
+// The store drops its history while a change is made. By watching on, the
+// change would be missed, so all objects are listed again.
+BOOST_AUTO_TEST_CASE(MissingHistoryIsListedAgain) {
   Harness h;
   h.watch.Start();
   h.Answer(h.Take(), {.outcome = ReadOutcome::kOk, .revision = 10});
@@ -111,10 +111,10 @@
   h.Answer(
       list,
       {.outcome = ReadOutcome::kOk, .objects = {Object("c")}, .revision = 40});
-  BOOST_TEST(h.told.back() == "list c");
+  BOOST_TEST(h.events.back() == "list c");
 }
 
-BOOST_AUTO_TEST_CASE(OutageAndReturnAreToldOnce) {
+BOOST_AUTO_TEST_CASE(OutageAndRecoveryAreReportedOnce) {
   Harness h;
   h.watch.Start();
   h.Answer(h.Take(), {.outcome = ReadOutcome::kOk, .revision = 10});
@@ -127,15 +127,17 @@
   const Harness::Call watch = h.Take();
   BOOST_TEST((watch.read.kind == Kind::kWatch));
   BOOST_TEST(watch.read.revision == 10U);
-  // It does not wait for changes, so that the return is seen at once.
+  // The watch does not wait for changes, so that the recovery is detected at
+  // once.
   BOOST_TEST((watch.read.wait == Duration::zero()));
   h.Answer(watch, {.outcome = ReadOutcome::kOk, .revision = 11});
   BOOST_TEST((h.Take().read.wait > Duration::zero()));
-  BOOST_TEST((h.told == std::vector<std::string>{"list", "outage", "return"}));
+  BOOST_TEST(
+      (h.events == std::vector<std::string>{"list", "outage", "recovery"}));
 }
 
-// The process stood still with a read under way. Its answer, from before,
-// comes after the list that was read anew; it must not bring an old state back.
+// The process is frozen with a read pending. The answer from before the freeze
+// arrives after the new list and must not bring back the old state.
 BOOST_AUTO_TEST_CASE(AnswerFromBeforeARestartIsIgnored) {
   Harness h;
   h.watch.Start();
@@ -148,36 +150,37 @@
   h.Answer(old, {.outcome = ReadOutcome::kOk,
                  .objects = {Object("old")},
                  .revision = 11});
-  BOOST_TEST((h.told == std::vector<std::string>{"list", "list new"}));
+  BOOST_TEST((h.events == std::vector<std::string>{"list", "list new"}));
 }
 
-// The connection of a waiting watch goes silent, a server leaves, and another
-// entry tells of the change. The watch asks anew well before its wait is over,
-// on another connection; what the silent one may still bring is ignored.
-BOOST_AUTO_TEST_CASE(ChangeThatOthersTellOfIsRead) {
+// The connection of a waiting watch becomes unresponsive, a server leaves, and
+// another entry reports the change. The store is asked again well before the
+// wait is over, on another connection; a late answer on the old connection is
+// ignored.
+BOOST_AUTO_TEST_CASE(ChangeReportedByOthersIsRead) {
   Harness h;
   h.watch.Start();
   h.Answer(h.Take(), {.outcome = ReadOutcome::kOk, .revision = 10});
-  const Harness::Call silent = h.Take();
+  const Harness::Call unresponsive = h.Take();
   h.clock.Advance(std::chrono::seconds(1));
   h.watch.OnToldBy(12);
   h.watch.Tick();
   BOOST_TEST(h.calls.empty());
   h.clock.Advance(std::chrono::milliseconds(600));
   h.watch.Tick();
-  const Harness::Call asked = h.Take();
-  BOOST_TEST((asked.read.wait == Duration::zero()));
-  h.Answer(silent, {.outcome = ReadOutcome::kOk, .revision = 11});
-  h.Answer(asked, {.outcome = ReadOutcome::kOk,
-                   .objects = {Object("a", /*removed=*/true)},
-                   .revision = 12});
-  BOOST_TEST(h.told.back() == "removed a");
+  const Harness::Call repeated = h.Take();
+  BOOST_TEST((repeated.read.wait == Duration::zero()));
+  h.Answer(unresponsive, {.outcome = ReadOutcome::kOk, .revision = 11});
+  h.Answer(repeated, {.outcome = ReadOutcome::kOk,
+                      .objects = {Object("a", /*removed=*/true)},
+                      .revision = 12});
+  BOOST_TEST(h.events.back() == "removed a");
   BOOST_TEST(h.watch.last_change() == 12U);
 }
 
-// A change that this watch has already, or an answer a moment ago, costs no
+// A change that this watch has already received, or a recent answer, causes no
 // further call.
-BOOST_AUTO_TEST_CASE(WhatIsKnownIsNotAskedFor) {
+BOOST_AUTO_TEST_CASE(KnownChangesAreNotReadAgain) {
   Harness h;
   h.watch.Start();
   h.Answer(h.Take(), {.outcome = ReadOutcome::kOk, .revision = 10});
@@ -190,8 +193,8 @@
   BOOST_TEST(h.calls.size() == 1U);
 }
 
-// One watch that is cut off is no outage that others have to look into; a
-// second failure in a row is.
+// A single watch that is cut off does not count as an outage for others to
+// investigate; a second failure in a row does.
 BOOST_AUTO_TEST_CASE(StoreCountsAsLostAfterTheSecondFailure) {
   Harness h;
   h.watch.Start();
