--- a/lavenderkeel/forward.h
+++ b/lavenderkeel/forward.h
@@ -1,8 +1,9 @@
 #ifndef LAVENDERKEEL_FORWARD_H_
 #define LAVENDERKEEL_FORWARD_H_
 
-/// Forwarding of clients' requests to backend servers: routes, teams and their
-/// rates, the queue, placing, attempts, resuming, and what a client is told.
+/// Forwarding of client requests to backend servers: routes, teams and their
+/// rate limits, the queue, placement, attempts, resumption of streams, and the
+/// answers to clients.
 #include "lavenderkeel/forward/forward_controller.h"
 #include "lavenderkeel/forward/forward_port.h"
 #include "lavenderkeel/forward/placement.h"
--- a/lavenderkeel/forward/attempt.h
+++ b/lavenderkeel/forward/attempt.h
@@ -5,33 +5,33 @@
 
 namespace lavenderkeel {
 
-/// One client request at this entry.
+/// Identifies a client request at this entry.
 using ExchangeId = uint64_t;
-/// One sending of a request to one backend server.
+/// Identifies one attempt at one backend server.
 using AttemptId = uint64_t;
 
-/// How an attempt ended that brought no whole answer.
+/// Why an attempt ended without a complete answer.
 enum class AttemptFailure {
-  /// No connection came about: nothing was sent.
+  /// No connection was established, so nothing was sent.
   kNotConnected,
   /// The server states that it did not run the request.
   kRejected,
   /// Another server has the address; it did not run the request.
   kWrongServer,
-  /// The connection closed or was reset before the answer was whole, as when
-  /// the server ends.
+  /// The connection was closed or reset before the answer was complete, as when
+  /// the server process ends.
   kDisconnected,
-  /// What came is no whole answer to this request.
+  /// The bytes received are no complete answer.
   kBroken,
-  /// Nothing came for too long; the connection was dropped.
+  /// No bytes arrived for too long; the connection was dropped.
   kSilent,
 };
 
-/// What is known about whether a request ran at a server.
+/// What is known about whether a server ran a request.
 enum class RunState { kUnsent, kProvedNotRun, kMayHaveRun };
 
-/// A server that closes its connection in whatever way may have run the
-/// request: only its own word, or the lack of a connection, says otherwise.
+/// However the connection was closed, the server may have run the request: only
+/// its own statement, or the lack of a connection, proves otherwise.
 constexpr RunState RunStateAfter(AttemptFailure failure) {
   switch (failure) {
     case AttemptFailure::kNotConnected:
--- a/lavenderkeel/forward/entry_exchange.cc
+++ b/lavenderkeel/forward/entry_exchange.cc
@@ -13,15 +13,14 @@
 namespace lavenderkeel {
 
 using internal::FromWire;
-using internal::GatesFromWire;
+using internal::GroupReportsFromWire;
 using internal::RelayedFromWire;
 using internal::ToWire;
 
 namespace {
 
-/// True once something has held for longer than that.
-///
-/// @param since when it began to hold; kept here from call to call
+/// Whether a condition has held for longer than a duration.
+/// @param since when it began to hold; kept from call to call
 bool HoldsFor(Duration longer_than,
               bool holds,
               std::optional<TimePoint>& since,
@@ -42,8 +41,8 @@
                              MemberTable& members,
                              Outbox& outbox,
                              ForwardController& controller,
-                             SlotGate& gate,
-                             SlotRouter& slots,
+                             SlotGate& slot_scheduler,
+                             SlotRouter& slot_router,
                              const ServerLog& servers,
                              CrashGuard& crashes,
                              RolloutExchange& rollouts,
@@ -52,8 +51,8 @@
       members_(members),
       outbox_(outbox),
       controller_(controller),
-      gate_(gate),
-      slots_(slots),
+      slot_scheduler_(slot_scheduler),
+      slot_router_(slot_router),
       servers_(servers),
       crashes_(crashes),
       rollouts_(rollouts),
@@ -63,39 +62,40 @@
 }
 
 void EntryExchange::OnLinkUp(LinkId link, const InstanceInfo& peer) {
-  // Over each connection: what was under way on a former one may be lost.
+  // Sent over each new connection: messages on a former connection may be lost.
   outbox_.Send(link, lavenderkeel::ToWire(crashes_.All(), /*complete=*/true,
                                           clock_.Now()));
-  // Each end opens a connection; the list goes over the first.
-  if (roster_.OnMet(peer, clock_.Now())) {
-    SendList(link, peer.id.instance, roster_.OthersThere(), /*complete=*/true);
+  // Both ends open a connection; the list is sent over the first.
+  if (roster_.OnConnected(peer, clock_.Now())) {
+    SendList(link, peer.id.instance, roster_.AvailableOthers(),
+             /*complete=*/true);
     OnRosterChange();
   }
 }
 
 void EntryExchange::OnPeerUp(const Member& member) {
-  slots_.OnReconnected(member.info.id.ToString());
-  // What the former connection lost is told anew.
-  round_ = 0;
-  Hurry();
+  slot_router_.OnReconnected(member.info.id.ToString());
+  // The former connection may have lost reports, so all usage is sent.
+  status_round_ = 0;
+  SendStatusSoon();
 }
 
 void EntryExchange::OnPeerLost(const PeerId& peer) {
-  told_.erase(peer);
-  followers_.erase(peer);
+  coordinator_status_.erase(peer);
+  feed_receivers_.erase(peer);
   rollouts_.OnPeerLost(peer);
-  roster_.OnGone(peer);
+  roster_.OnUnavailable(peer);
   OnRosterChange();
 }
 
 void EntryExchange::OnPeerLeaving(const PeerId& peer) {
-  roster_.OnGone(peer);
+  roster_.OnUnavailable(peer);
   OnRosterChange();
 }
 
 void EntryExchange::OnRosterChange() {
-  slots_.set_hosts_gates(roster_.self_coordinates());
-  slots_.set_weakest_host(roster_.weakest_coordinator());
+  slot_router_.set_hosts_gates(roster_.self_coordinates());
+  slot_router_.set_weakest_host(roster_.min_coordinator_share());
   members_.OnInstanceList(roster_.Others());
   members_.set_wanted_entries(roster_.self_coordinates()
                                   ? std::nullopt
@@ -108,18 +108,18 @@
   const std::string name = peer.ToString();
   const ForwardReport report = FromWire(status);
   controller_.OnPeerReport(name, report);
-  gate_.OnReport(name, report.in_flight);
+  slot_scheduler_.OnReport(name, report.in_flight);
   rollouts_.OnStatus(peer, status);
-  relay_.OnTotals(peer, report.team_totals, PassesOnFor(peer.instance));
+  relay_.OnTotals(peer, report.team_totals, RelaysUsageOf(peer.instance));
   if (status.feed_wanted) {
-    NoteFollower(peer, status.server_change);
+    UpdateFeedReceiver(peer, status.server_change);
   } else {
-    followers_.erase(peer);
+    feed_receivers_.erase(peer);
   }
   if (status.entries_known == 0) {
     return;
   }
-  told_[peer] = {
+  coordinator_status_[peer] = {
       .counts = {.known = status.entries_known, .heard = status.entries_heard},
       .server_change = status.server_change,
       .table_version = status.table_version,
@@ -128,139 +128,154 @@
       .at = clock_.Now()};
   controller_.OnRelayedTotals(name, RelayedFromWire(status));
   if (!member.info.leaving) {
-    slots_.OnHeard(name, GatesFromWire(status));
+    slot_router_.OnHeard(name, GroupReportsFromWire(status));
   }
 }
 
-void EntryExchange::NoteFollower(const PeerId& peer, uint64_t known) {
-  Follower& follower = followers_[peer];
-  const bool under_way =
-      known < follower.known && members_.AnyLinkTo(peer) == follower.link &&
-      clock_.Now() - follower.sent_at < options_.feed_arrives;
-  if (!under_way) {
-    follower.known = known;
+void EntryExchange::UpdateFeedReceiver(const PeerId& peer,
+                                       uint64_t reported_change) {
+  FeedReceiver& receiver = feed_receivers_[peer];
+  const bool in_transit =
+      reported_change < receiver.last_change &&
+      members_.AnyLinkTo(peer) == receiver.link &&
+      clock_.Now() - receiver.sent_at < options_.feed_resend_after;
+  if (!in_transit) {
+    receiver.last_change = reported_change;
   }
-  if (follower.known < servers_.revision()) {
-    Feed(peer, follower);
+  if (receiver.last_change < servers_.revision()) {
+    SendFeed(peer, receiver);
   }
 }
 
 void EntryExchange::OnKnownEntries(const KnownEntries& known) {
-  std::vector<InstanceInfo> told;
-  told.reserve(known.entries.size());
+  std::vector<InstanceInfo> listed;
+  listed.reserve(known.entries.size());
   for (const auto& entry : known.entries) {
     if (entry != nullptr) {
-      told.push_back(FromHello(*entry));
+      listed.push_back(FromHello(*entry));
     }
   }
-  if (roster_.OnTold(told, known.complete, clock_.Now())) {
+  if (roster_.OnListed(listed, known.complete, clock_.Now())) {
     OnRosterChange();
   }
 }
 
-void EntryExchange::Tick(const OwnState& own) {
+void EntryExchange::Tick(const OwnState& own_state) {
   const TimePoint now = clock_.Now();
-  ChooseFeeder(own);
-  FeedFollowers();
-  rollouts_.Follow(members_.self().id, roster_.self_coordinates(),
-                   [this](const PeerId& peer) { return IsUp(peer); });
-  SendNews();
-  SendCrashNews();
+  ChooseFeedSource(own_state);
+  SendFeeds();
+  rollouts_.ChooseDecider(members_.self().id, roster_.self_coordinates(),
+                          [this](const PeerId& peer) { return IsUp(peer); });
+  SendNewEntries();
+  SendCrashReports();
   if (now >= status_due_) {
     status_due_ = now + options_.status_period;
-    SendStatus(own);
+    SendStatus(own_state);
   }
   if (now >= list_due_) {
     list_due_ = now + options_.list_period;
-    SendWholeList();
+    SendCompleteList();
   }
 }
 
-void EntryExchange::ChooseFeeder(const OwnState& own) {
+void EntryExchange::ChooseFeedSource(const OwnState& own_state) {
   const TimePoint now = clock_.Now();
-  feeder_.reset();
+  feed_source_.reset();
   if (roster_.self_coordinates()) {
     return;
   }
-  uint64_t latest = own.server_change;
+  uint64_t latest = own_state.server_change;
   bool all_lost = true;
-  for (const auto& [peer, told] : told_) {
+  for (const auto& [peer, latest_status] : coordinator_status_) {
     if (IsUp(peer)) {
-      latest = std::max(latest, told.server_change);
-      all_lost = all_lost && told.store_lost;
+      latest = std::max(latest, latest_status.server_change);
+      all_lost = all_lost && latest_status.store_lost;
     }
   }
-  const bool late = HoldsFor(options_.feed_patience,
-                             latest != own.server_change, behind_since_, now);
-  // One that the store answers, and that has the latest change if need be; of
-  // several one in this data centre, since lists are long, and then the
-  // weightiest, so that they share the entries among them.
+  const bool lagging =
+      HoldsFor(options_.max_feed_lag, latest != own_state.server_change,
+               behind_since_, now);
+  // In order of preference: has the latest change, if this entry lags; gets
+  // answers from the store; is in this data centre, since lists are long;
+  // rendezvous weight, which spreads the entries over the coordinators.
   const uint64_t key = HashBytes(members_.self().id.instance);
   std::optional<std::tuple<bool, bool, bool, uint64_t>> best;
-  for (const auto& [peer, told] : told_) {
-    const std::tuple rank(!late || told.server_change == latest,
-                          !told.store_lost,
-                          told.data_centre == members_.self().data_centre,
-                          RendezvousWeight(key, peer.instance));
+  for (const auto& [peer, latest_status] : coordinator_status_) {
+    const std::tuple rank(
+        !lagging || latest_status.server_change == latest,
+        !latest_status.store_lost,
+        latest_status.data_centre == members_.self().data_centre,
+        RendezvousWeight(key, peer.instance));
     if (IsUp(peer) && (!best.has_value() || rank > *best)) {
       best = rank;
-      feeder_ = peer;
+      feed_source_ = peer;
     }
   }
   all_lost_store_ =
-      HoldsFor(options_.store_patience, all_lost && feeder_.has_value(),
-               store_lost_since_, now);
+      HoldsFor(options_.store_fallback_after,
+               all_lost && feed_source_.has_value(), store_lost_since_, now);
 }
 
-const EntryExchange::Told* EntryExchange::ToldByFeeder() const {
-  const auto told = feeder_.has_value() ? told_.find(*feeder_) : told_.end();
-  return told == told_.end() ? nullptr : &told->second;
+const EntryExchange::CoordinatorStatus* EntryExchange::FeedSourceStatus()
+    const {
+  const auto latest_status = feed_source_.has_value()
+                                 ? coordinator_status_.find(*feed_source_)
+                                 : coordinator_status_.end();
+  return latest_status == coordinator_status_.end() ? nullptr
+                                                    : &latest_status->second;
 }
 
-bool EntryExchange::feeder_lost_store() const {
-  const Told* told = ToldByFeeder();
-  return told != nullptr && told->store_lost;
+bool EntryExchange::feed_source_lost_store() const {
+  const CoordinatorStatus* source_status = FeedSourceStatus();
+  return source_status != nullptr && source_status->store_lost;
 }
 
-std::optional<PeerId> EntryExchange::HasConfig(uint64_t version) const {
-  const Told* told = ToldByFeeder();
-  return told != nullptr && told->table_version >= version ? feeder_
-                                                           : std::nullopt;
+std::optional<PeerId> EntryExchange::FeedSourceWithConfig(
+    uint64_t version) const {
+  const CoordinatorStatus* source_status = FeedSourceStatus();
+  return source_status != nullptr && source_status->table_version >= version
+             ? feed_source_
+             : std::nullopt;
 }
 
-void EntryExchange::Feed(const PeerId& peer, Follower& follower) {
+void EntryExchange::SendFeed(const PeerId& peer, FeedReceiver& receiver) {
   const std::optional<LinkId> link = members_.AnyLinkTo(peer);
   if (!link.has_value()) {
     return;
   }
-  outbox_.Send(*link, ToWire(servers_.Since(follower.known)));
-  follower = {
-      .known = servers_.revision(), .link = *link, .sent_at = clock_.Now()};
+  outbox_.Send(*link, ToWire(servers_.ChangesSince(receiver.last_change)));
+  receiver = {.last_change = servers_.revision(),
+              .link = *link,
+              .sent_at = clock_.Now()};
 }
 
-void EntryExchange::FeedFollowers() {
-  for (auto& [peer, follower] : followers_) {
-    if (follower.known < servers_.revision()) {
-      Feed(peer, follower);
+void EntryExchange::SendFeeds() {
+  for (auto& [peer, receiver] : feed_receivers_) {
+    if (receiver.last_change < servers_.revision()) {
+      SendFeed(peer, receiver);
     }
   }
 }
 
 bool EntryExchange::IsUp(const PeerId& coordinator) const {
-  const auto told = told_.find(coordinator);
-  return told != told_.end() &&
-         clock_.Now() - told->second.at <= options_.coordinator_silence;
+  const auto latest_status = coordinator_status_.find(coordinator);
+  return latest_status != coordinator_status_.end() &&
+         clock_.Now() - latest_status->second.at <=
+             options_.coordinator_timeout;
 }
 
-bool EntryExchange::PassesOnFor(const std::string& instance) const {
+bool EntryExchange::RelaysUsageOf(const std::string& instance) const {
   if (!roster_.self_coordinates() || roster_.IsCoordinator(instance)) {
     return false;
   }
-  // The weightiest of those that are heard of, without a list of them.
+  // Whether no reporting coordinator has a higher weight, without building a
+  // list of them.
   const uint64_t key = HashBytes(instance);
-  const uint64_t own = RendezvousWeight(key, members_.self().id.instance);
-  return std::ranges::none_of(told_, [&](const auto& item) {
-    return IsUp(item.first) && RendezvousWeight(key, item.first.instance) > own;
+  const uint64_t own_weight =
+      RendezvousWeight(key, members_.self().id.instance);
+  return std::ranges::none_of(coordinator_status_, [&](const auto& item) {
+    return IsUp(item.first) &&
+           RendezvousWeight(key, item.first.instance) > own_weight;
   });
 }
 
@@ -275,42 +290,44 @@
     }
     return counts;
   }
-  // What the coordinator that hears of most entries hears of is heard here.
+  // The coordinator with the most reporting entries relays their usage here.
   std::optional<Counts> most;
-  for (const auto& [peer, told] : told_) {
-    if (IsUp(peer) && (!most.has_value() || told.counts.heard > most->heard)) {
-      most = told.counts;
+  for (const auto& [peer, latest_status] : coordinator_status_) {
+    if (IsUp(peer) &&
+        (!most.has_value() || latest_status.counts.heard > most->heard)) {
+      most = latest_status.counts;
     }
   }
   return most.value_or(Counts{.known = roster_.size(), .heard = 1});
 }
 
-void EntryExchange::SendStatus(const OwnState& own) {
-  const bool whole = round_ == 0;
-  round_ = (round_ + 1) % options_.whole_every;
+void EntryExchange::SendStatus(const OwnState& own_state) {
+  const bool include_unchanged = status_round_ == 0;
+  status_round_ = (status_round_ + 1) % options_.full_status_every;
   ForwardReport report = controller_.Report();
-  gate_.OnReport(members_.self().id.ToString(), report.in_flight);
-  const std::vector<GateReport> gates = gate_.Reports();
-  slots_.OnHeard(members_.self().id.ToString(), gates);
+  slot_scheduler_.OnReport(members_.self().id.ToString(), report.in_flight);
+  const std::vector<GateReport> group_reports = slot_scheduler_.Reports();
+  slot_router_.OnHeard(members_.self().id.ToString(), group_reports);
   std::erase_if(report.team_totals, [&](const auto& total) {
-    const bool same =
-        std::exchange(own_told_[total.first], total.second) == total.second;
-    return same && !whole;
+    const bool unchanged = std::exchange(last_sent_totals_[total.first],
+                                         total.second) == total.second;
+    return unchanged && !include_unchanged;
   });
   const bool coordinates = roster_.self_coordinates();
-  ForwardStatus to_coordinator = ToWire(report, gates);
-  to_coordinator.server_change = own.server_change;
-  to_coordinator.store_lost = own.store_lost;
-  rollouts_.PutCounts(members_.self().id, whole, to_coordinator);
+  ForwardStatus to_coordinator = ToWire(report, group_reports);
+  to_coordinator.server_change = own_state.server_change;
+  to_coordinator.store_lost = own_state.store_lost;
+  rollouts_.PutCounts(members_.self().id, include_unchanged, to_coordinator);
   if (coordinates) {
-    rollouts_.PutPlans(own.rollout_change, to_coordinator);
+    rollouts_.PutPlans(own_state.rollout_change, to_coordinator);
   }
   const Counts counts = Count();
   if (coordinates) {
     to_coordinator.entries_known = static_cast<uint32_t>(counts.known);
     to_coordinator.entries_heard = static_cast<uint32_t>(counts.heard);
   }
-  // Who has no gate needs no counts of what is at the servers.
+  // An entry without a slot scheduler needs no counts of what runs at the
+  // servers.
   ForwardStatus to_other = to_coordinator;
   to_other.servers.clear();
   to_other.in_flight.clear();
@@ -320,38 +337,39 @@
       continue;
     }
     if (roster_.IsCoordinator(member->info.id.instance)) {
-      to_coordinator.feed_wanted = feeder_ == member->info.id;
+      to_coordinator.feed_wanted = feed_source_ == member->info.id;
       outbox_.Send(*member->outbound, to_coordinator);
     } else if (coordinates) {
       ForwardStatus status = to_other;
-      internal::PutRelayed(relay_.For(member->info.id, whole), status);
+      internal::PutRelayed(relay_.For(member->info.id, include_unchanged),
+                           status);
       outbox_.Send(*member->outbound, std::move(status));
     }
   }
   relay_.EndRound();
 }
 
-void EntryExchange::SendNews() {
-  const std::vector<InstanceInfo> news = roster_.TakeNews();
-  if (news.empty()) {
+void EntryExchange::SendNewEntries() {
+  const std::vector<InstanceInfo> new_entries = roster_.TakeNewEntries();
+  if (new_entries.empty()) {
     return;
   }
   for (const Member* member : members_.Members(Role::kEntry)) {
     if (member->outbound.has_value()) {
-      SendList(*member->outbound, member->info.id.instance, news,
+      SendList(*member->outbound, member->info.id.instance, new_entries,
                /*complete=*/false);
     }
   }
 }
 
 void EntryExchange::OnCrashNews(const Member& member, const CrashNews& news) {
-  // What a coordinator says it says to all.
+  // A coordinator sends its crash reports to all entries itself.
   const bool pass_on = roster_.self_coordinates() &&
                        !roster_.IsCoordinator(member.info.id.instance);
   crashes_.OnNews(news, pass_on);
 }
 
-void EntryExchange::SendCrashNews() {
+void EntryExchange::SendCrashReports() {
   const std::vector<CrashReport> reports = crashes_.TakeNews();
   if (!reports.empty()) {
     members_.SendToAll(
@@ -360,18 +378,18 @@
   }
 }
 
-void EntryExchange::SendWholeList() {
-  // In turn, by name: each entry gets the list of one coordinator or another
-  // about once a second.
+void EntryExchange::SendCompleteList() {
+  // Round robin in order of the names: each entry gets the list of some
+  // coordinator about once a second.
   const std::vector<const Member*> all = members_.Members(Role::kEntry);
   const Member* next = nullptr;
   for (const Member* member : all) {
     if (!member->outbound.has_value()) {
       continue;
     }
-    const bool after = member->info.id.instance > list_sent_to_;
+    const bool after = member->info.id.instance > last_list_receiver_;
     const bool next_is_after =
-        next != nullptr && next->info.id.instance > list_sent_to_;
+        next != nullptr && next->info.id.instance > last_list_receiver_;
     if (next == nullptr || (after && !next_is_after)) {
       next = member;
     }
@@ -379,14 +397,14 @@
   if (next == nullptr || !roster_.self_coordinates()) {
     return;
   }
-  list_sent_to_ = next->info.id.instance;
+  last_list_receiver_ = next->info.id.instance;
   std::vector<InstanceInfo> live;
   for (const Member* member : all) {
     if (member->live()) {
       live.push_back(member->info);
     }
   }
-  SendList(*next->outbound, list_sent_to_, live, /*complete=*/true);
+  SendList(*next->outbound, last_list_receiver_, live, /*complete=*/true);
 }
 
 void EntryExchange::SendList(LinkId link,
--- a/lavenderkeel/forward/entry_exchange.h
+++ b/lavenderkeel/forward/entry_exchange.h
@@ -22,48 +22,49 @@
 
 namespace lavenderkeel {
 
-/// What entries tell each other, and to whom.
+/// Exchange of state between entries, and whom they connect to.
 ///
-/// Every entry reports to the coordinators, and they report to every entry.
-/// Between two entries of which neither is a coordinator there is nothing to
-/// say, so they keep no connection. A coordinator that is lost is replaced by
-/// the next in the order that all entries share.
+/// Every entry reports to the coordinators, and they report to every entry. Two
+/// entries of which neither is a coordinator have nothing to exchange and keep
+/// no connection. A lost coordinator is replaced by the next in the order that
+/// all entries share.
 class EntryExchange {
  public:
   struct Options {
-    /// How often an entry reports. Others place on reports this old; a request
+    /// Report period. Others place requests by reports this old; a request
     /// lasts some 300 ms.
     Duration status_period = std::chrono::milliseconds(100);
-    /// Every so many reports all draws are told, not only those that changed.
-    int whole_every = 10;
-    /// How often an entry sends its whole list of entries, to one other at a
-    /// time.
+    /// One of this many reports contains the rate usage of all teams, the
+    /// others only what changed.
+    int full_status_every = 10;
+    /// Period in which an entry sends its complete list of entries, to one
+    /// other entry at a time.
     Duration list_period = std::chrono::milliseconds(100);
-    /// A coordinator that said nothing for this time speaks for nobody.
-    Duration coordinator_silence = std::chrono::milliseconds(400);
-    /// An entry that is behind the latest change for this time takes the list
-    /// of servers from whoever has it, not from its usual coordinator.
-    Duration feed_patience = std::chrono::milliseconds(300);
-    /// What was sent to an entry that has not told of it for this time, and
-    /// over a connection that is still there, is sent again. A list of 3,000
-    /// servers takes a second on the weakest link.
-    Duration feed_arrives = std::chrono::seconds(5);
-    /// While no coordinator has had an answer from the store for this time,
-    /// every entry asks by itself: it may only be the coordinators that are
-    /// turned away.
-    Duration store_patience = std::chrono::seconds(3);
+    /// A coordinator without a report for this time counts as down.
+    Duration coordinator_timeout = std::chrono::milliseconds(400);
+    /// An entry that lacks the latest change for this time takes the list of
+    /// servers from any coordinator that has it, not from its usual one.
+    Duration max_feed_lag = std::chrono::milliseconds(300);
+    /// A list that was sent over a connection that is still open is sent again
+    /// if the receiver has not confirmed it within this time. A list of 3,000
+    /// servers takes a second on the slowest link.
+    Duration feed_resend_after = std::chrono::seconds(5);
+    /// If no coordinator has had an answer from the store for longer than this,
+    /// every entry reads the store itself: the store may reject only the
+    /// coordinators.
+    Duration store_fallback_after = std::chrono::seconds(3);
     EntryRoster::Options roster;
   };
 
-  /// What this entry says of itself besides.
+  /// Further state that the status contains.
   struct OwnState {
     uint64_t server_change = 0;
     bool store_lost = false;
     uint64_t rollout_change = 0;
   };
 
-  /// Entries that are known and those of them whose draws are heard of, this
-  /// one included in both.
+  /// Number of known entries and of those whose rate usage is reported to this
+  /// entry; both include this entry.
   struct Counts {
     size_t known = 1;
     size_t heard = 1;
@@ -75,38 +76,38 @@
                 MemberTable& members,
                 Outbox& outbox,
                 ForwardController& controller,
-                SlotGate& gate,
-                SlotRouter& slots,
+                SlotGate& slot_scheduler,
+                SlotRouter& slot_router,
                 const ServerLog& servers,
                 CrashGuard& crashes,
                 RolloutExchange& rollouts,
                 const Clock& clock);
 
   void OnLinkUp(LinkId link, const InstanceInfo& peer);
-  /// The connection that this entry opened to the member is up.
+  /// The connection that this entry opened to the member is established.
   void OnPeerUp(const Member& member);
   void OnPeerLost(const PeerId& peer);
   void OnPeerLeaving(const PeerId& peer);
   void OnStatus(const Member& member, const ForwardStatus& status);
   void OnKnownEntries(const KnownEntries& known);
   void OnCrashNews(const Member& member, const CrashNews& news);
-  /// Reports soon, since something changed.
-  void Hurry() { status_due_ = {}; }
-  void Tick(const OwnState& own);
-
-  /// A coordinator tells this entry of changes of the list of servers and of
-  /// the configuration, so that it need not ask the store.
-  bool fed() const { return feeder_.has_value() && !all_lost_store_; }
-  /// Whom to ask for a configuration of that version.
-  std::optional<PeerId> HasConfig(uint64_t version) const;
-  /// The coordinator that this entry relies on has no answers from the store.
-  bool feeder_lost_store() const;
+  /// Sends a status with the next tick, after a change.
+  void SendStatusSoon() { status_due_ = {}; }
+  void Tick(const OwnState& own_state);
+
+  /// A coordinator sends this entry the changes of the list of servers and of
+  /// the configuration, so that the entry need not read the store.
+  bool is_fed() const { return feed_source_.has_value() && !all_lost_store_; }
+  /// The feed source, if it has this or a later version.
+  std::optional<PeerId> FeedSourceWithConfig(uint64_t version) const;
+  /// The feed source gets no answers from the store.
+  bool feed_source_lost_store() const;
 
   Counts Count() const;
   const EntryRoster& roster() const { return roster_; }
 
  private:
-  struct Told {
+  struct CoordinatorStatus {
     Counts counts;
     uint64_t server_change = 0;
     uint64_t table_version = 0;
@@ -115,63 +116,60 @@
     TimePoint at;
   };
 
-  /// An entry that takes the list from here.
-  struct Follower {
-    /// The latest change that it told of, or that was sent to it.
-    uint64_t known = 0;
+  /// An entry that takes the list of servers from this one.
+  struct FeedReceiver {
+    /// The latest change reported by it or sent to it.
+    uint64_t last_change = 0;
     LinkId link = 0;
     TimePoint sent_at;
   };
 
   bool IsUp(const PeerId& coordinator) const;
-  /// Null without a feeder.
-  const Told* ToldByFeeder() const;
-  /// Whether this coordinator passes on what the entry draws.
-  bool PassesOnFor(const std::string& instance) const;
-  void ChooseFeeder(const OwnState& own);
-  void NoteFollower(const PeerId& peer, uint64_t known);
-  void Feed(const PeerId& peer, Follower& follower);
-  void FeedFollowers();
-  void SendStatus(const OwnState& own);
-  void SendNews();
-  void SendWholeList();
-  /// To whoever has to hear of it from this entry.
-  void SendCrashNews();
+  /// Null without a feed source.
+  const CoordinatorStatus* FeedSourceStatus() const;
+  /// Whether this coordinator relays the rate usage at that entry.
+  bool RelaysUsageOf(const std::string& instance) const;
+  void ChooseFeedSource(const OwnState& own_state);
+  void UpdateFeedReceiver(const PeerId& peer, uint64_t reported_change);
+  void SendFeed(const PeerId& peer, FeedReceiver& receiver);
+  void SendFeeds();
+  void SendStatus(const OwnState& own_state);
+  void SendNewEntries();
+  void SendCompleteList();
+  /// Sends the crash reports that this entry has to pass on.
+  void SendCrashReports();
   void SendList(LinkId link,
                 const std::string& to,
                 const std::vector<InstanceInfo>& entries,
                 bool complete);
-  /// A change of coordinators changes whom this entry is connected to.
+  /// The coordinators determine the entries to connect to.
   void OnRosterChange();
 
   Options options_;
   MemberTable& members_;
   Outbox& outbox_;
   ForwardController& controller_;
-  SlotGate& gate_;
-  SlotRouter& slots_;
+  SlotGate& slot_scheduler_;
+  SlotRouter& slot_router_;
   const ServerLog& servers_;
   CrashGuard& crashes_;
   RolloutExchange& rollouts_;
   const Clock& clock_;
   EntryRoster roster_;
   DrawRelay relay_;
-  /// What the coordinators said last of how many entries there are.
-  std::map<PeerId, Told> told_;
-  /// Whom this entry takes the list of servers from; none if it coordinates or
-  /// hears of no coordinator.
-  std::optional<PeerId> feeder_;
+  std::map<PeerId, CoordinatorStatus> coordinator_status_;
+  /// The coordinator that the list of servers comes from; none if this entry
+  /// coordinates or receives no status of a coordinator.
+  std::optional<PeerId> feed_source_;
   std::optional<TimePoint> behind_since_;
   std::optional<TimePoint> store_lost_since_;
   bool all_lost_store_ = false;
-  std::map<PeerId, Follower> followers_;
-  /// Own draws as they were told last.
-  std::map<uint64_t, double> own_told_;
+  std::map<PeerId, FeedReceiver> feed_receivers_;
+  std::map<uint64_t, double> last_sent_totals_;
   TimePoint status_due_;
   TimePoint list_due_;
-  int round_ = 0;
-  /// The last that the whole list went to.
-  std::string list_sent_to_;
+  int status_round_ = 0;
+  std::string last_list_receiver_;
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/forward/entry_roster.cc
+++ b/lavenderkeel/forward/entry_roster.cc
@@ -9,85 +9,86 @@
 
 EntryRoster::EntryRoster(Options options, InstanceInfo self)
     : options_(options), self_(std::move(self)) {
-  Choose();
+  UpdateCoordinators();
 }
 
-bool EntryRoster::Note(const InstanceInfo& info, TimePoint now) {
+bool EntryRoster::Update(const InstanceInfo& info, TimePoint now) {
   if (info.id.instance == self_.id.instance || info.role != Role::kEntry) {
     return false;
   }
   const auto [position, inserted] = entries_.try_emplace(info.id.instance);
-  Known& known = position->second;
-  // Of several incarnations that are told of, the latest lives.
+  KnownEntry& known = position->second;
+  // Only the latest incarnation of an instance can be alive.
   if (!inserted && info.id.incarnation < known.info.id.incarnation) {
     return false;
   }
   const bool is_new =
       inserted || info.id.incarnation > known.info.id.incarnation;
-  known.told = now;
+  known.last_listed = now;
   if (is_new) {
     known.info = info;
-    known.met = false;
-    known.gone = false;
+    known.connected = false;
+    known.unavailable = false;
   }
   return is_new;
 }
 
-bool EntryRoster::OnMet(const InstanceInfo& info, TimePoint now) {
-  const bool is_new = Note(info, now);
+bool EntryRoster::OnConnected(const InstanceInfo& info, TimePoint now) {
+  const bool is_new = Update(info, now);
   if (is_new) {
-    news_.push_back(info);
+    new_entries_.push_back(info);
   }
   const auto found = entries_.find(info.id.instance);
   if (found == entries_.end() || found->second.info.id != info.id) {
     return false;
   }
-  Known& known = found->second;
-  const bool back = known.gone && !info.leaving;
-  if (back) {
-    known.gone = false;
+  KnownEntry& known = found->second;
+  const bool returned = known.unavailable && !info.leaving;
+  if (returned) {
+    known.unavailable = false;
   }
-  if (is_new || back) {
-    Choose();
+  if (is_new || returned) {
+    UpdateCoordinators();
   }
-  return !std::exchange(known.met, true) || back;
+  return !std::exchange(known.connected, true) || returned;
 }
 
-bool EntryRoster::OnTold(const std::vector<InstanceInfo>& told,
-                         bool complete,
-                         TimePoint now) {
+bool EntryRoster::OnListed(const std::vector<InstanceInfo>& listed,
+                           bool complete,
+                           TimePoint now) {
   bool changed = false;
-  for (const InstanceInfo& info : told) {
-    changed |= Note(info, now);
+  for (const InstanceInfo& info : listed) {
+    changed |= Update(info, now);
   }
   if (complete) {
     changed |= std::erase_if(entries_, [&](const auto& item) {
-                 return now - item.second.told > options_.forget_after;
+                 return now - item.second.last_listed > options_.forget_after;
                }) > 0;
   }
   if (changed) {
-    Choose();
+    UpdateCoordinators();
   }
   return changed;
 }
 
-void EntryRoster::OnGone(const PeerId& peer) {
+void EntryRoster::OnUnavailable(const PeerId& peer) {
   const auto found = entries_.find(peer.instance);
   if (found != entries_.end() && found->second.info.id == peer &&
-      !std::exchange(found->second.gone, true)) {
-    Choose();
+      !std::exchange(found->second.unavailable, true)) {
+    UpdateCoordinators();
   }
 }
 
-std::vector<InstanceInfo> EntryRoster::TakeNews() {
-  return std::exchange(news_, {});
+std::vector<InstanceInfo> EntryRoster::TakeNewEntries() {
+  return std::exchange(new_entries_, {});
 }
 
-std::vector<InstanceInfo> EntryRoster::List(bool with_gone) const {
+std::vector<InstanceInfo> EntryRoster::ListOthers(
+    bool include_unavailable) const {
   std::vector<InstanceInfo> others;
   others.reserve(entries_.size());
   for (const auto& [instance, known] : entries_) {
-    if (with_gone || !known.gone) {
+    if (include_unavailable || !known.unavailable) {
       others.push_back(known.info);
     }
   }
@@ -95,21 +96,22 @@
 }
 
 size_t EntryRoster::RankFor(uint64_t key) const {
-  const uint64_t own = RendezvousWeight(key, self_.id.instance);
+  const uint64_t own_weight = RendezvousWeight(key, self_.id.instance);
   return static_cast<size_t>(
       std::ranges::count_if(entries_, [&](const auto& item) {
-        return !item.second.gone && RendezvousWeight(key, item.first) > own;
+        return !item.second.unavailable &&
+               RendezvousWeight(key, item.first) > own_weight;
       }));
 }
 
-void EntryRoster::Choose() {
-  std::vector<InstanceInfo> candidates = OthersThere();
+void EntryRoster::UpdateCoordinators() {
+  std::vector<InstanceInfo> candidates = AvailableOthers();
   candidates.push_back(self_);
   coordinators_ = ChooseCoordinators(candidates, options_.coordinators);
   std::erase_if(candidates, [this](const InstanceInfo& info) {
     return !IsCoordinator(info.id.instance);
   });
-  weakest_coordinator_ =
+  min_coordinator_share_ =
       std::ranges::min(candidates, {}, &InstanceInfo::processor_share)
           .processor_share;
 }
--- a/lavenderkeel/forward/entry_roster.h
+++ b/lavenderkeel/forward/entry_roster.h
@@ -12,78 +12,81 @@
 
 namespace lavenderkeel {
 
-/// The entries of the fleet that this one knows of, met or told of.
+/// The entries of the fleet that this entry knows from connections or from
+/// lists of others.
 ///
-/// Failure: each entry sends each other the whole list every second. Symptom:
-/// with 103 entries two thirds of their processor time go into reading lists
-/// that say nothing new, and slots are granted late. So news is told once, by
-/// whoever met the newcomer, and whole lists go to one entry at a time; they
-/// bring back what was lost on the way and show who is gone.
+/// If each of 103 entries sends the complete list to each other every second,
+/// two thirds of their processor time go into reading unchanged lists, and
+/// slots are granted late. So a new entry is announced once, by an entry that
+/// connects to it before a list names it, and complete lists go to one entry at
+/// a time; they make up for lost announcements and show which entries are gone.
 class EntryRoster {
  public:
   struct Options {
-    /// An entry that no whole list named for this time is gone. Lists reach
-    /// each entry about once a second.
+    /// An entry that was in no list for this time is forgotten. Complete lists
+    /// reach each entry about once a second.
     Duration forget_after = std::chrono::seconds(10);
     CoordinatorRules coordinators;
   };
 
   EntryRoster(Options options, InstanceInfo self);
 
-  /// A connection to it came up. It is news, to be told, if it was not known.
-  /// @return whether this is the first one, or it was gone
-  bool OnMet(const InstanceInfo& info, TimePoint now);
-  /// Another entry told of these.
-  /// @param complete the teller's whole list
-  /// @return whether somebody is new or forgotten
-  bool OnTold(const std::vector<InstanceInfo>& told,
-              bool complete,
-              TimePoint now);
-  /// It does not answer or is leaving: it is no coordinator until it is met or
-  /// told of again.
-  void OnGone(const PeerId& peer);
+  /// Records a connection; an entry not known before is announced.
+  /// @return whether it is the first connection, or the entry was unavailable
+  bool OnConnected(const InstanceInfo& info, TimePoint now);
+  /// Records entries that another entry listed.
+  /// @param complete whether it is the complete list of the sender
+  /// @return whether an entry is new or forgotten
+  bool OnListed(const std::vector<InstanceInfo>& listed,
+                bool complete,
+                TimePoint now);
+  /// The entry does not answer or is leaving. It is no coordinator until it
+  /// connects again or a new incarnation is listed.
+  void OnUnavailable(const PeerId& peer);
 
-  /// Those met since the last call whom nobody had told of.
-  std::vector<InstanceInfo> TakeNews();
-  /// Everyone known, without this entry. Those that are gone are dialled until
+  /// Entries connected since the last call that no list had named before.
+  std::vector<InstanceInfo> TakeNewEntries();
+  /// All known entries except this one. Unavailable entries are dialled until
   /// they are forgotten.
-  std::vector<InstanceInfo> Others() const { return List(/*with_gone=*/true); }
-  /// The same without those that are gone.
-  std::vector<InstanceInfo> OthersThere() const {
-    return List(/*with_gone=*/false);
+  std::vector<InstanceInfo> Others() const {
+    return ListOthers(/*include_unavailable=*/true);
   }
-  /// How many others that are there weigh more than this entry for a key.
+  /// The same without the unavailable entries.
+  std::vector<InstanceInfo> AvailableOthers() const {
+    return ListOthers(/*include_unavailable=*/false);
+  }
+  /// Number of other available entries whose weight for a key is higher.
   size_t RankFor(uint64_t key) const;
-  /// This entry included.
+  /// Includes this entry.
   size_t size() const { return entries_.size() + 1; }
 
   const std::set<std::string>& coordinators() const { return coordinators_; }
   bool IsCoordinator(const std::string& instance) const {
     return coordinators_.contains(instance);
   }
-  /// The least part of a core that a coordinator has.
-  double weakest_coordinator() const { return weakest_coordinator_; }
+  /// The smallest processor share of a coordinator, in cores.
+  double min_coordinator_share() const { return min_coordinator_share_; }
   bool self_coordinates() const { return IsCoordinator(self_.id.instance); }
 
  private:
-  struct Known {
+  struct KnownEntry {
     InstanceInfo info;
-    TimePoint told;
-    bool met = false;
-    bool gone = false;
+    TimePoint last_listed;
+    bool connected = false;
+    bool unavailable = false;
   };
 
-  /// @return whether it is a new entry or a new incarnation
-  bool Note(const InstanceInfo& info, TimePoint now);
-  std::vector<InstanceInfo> List(bool with_gone) const;
-  void Choose();
+  /// @return whether the entry or its incarnation is new
+  bool Update(const InstanceInfo& info, TimePoint now);
+  std::vector<InstanceInfo> ListOthers(bool include_unavailable) const;
+  void UpdateCoordinators();
 
   Options options_;
   InstanceInfo self_;
-  std::map<std::string, Known> entries_;
-  std::vector<InstanceInfo> news_;
+  std::map<std::string, KnownEntry> entries_;
+  std::vector<InstanceInfo> new_entries_;
   std::set<std::string> coordinators_;
-  double weakest_coordinator_ = 0;
+  double min_coordinator_share_ = 0;
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/forward/forward_controller.cc
+++ b/lavenderkeel/forward/forward_controller.cc
@@ -16,12 +16,12 @@
 constexpr int kFirstServerError = 500;
 constexpr int kMisdirected = 421;
 
-/// Sendings of one request that found no connection, before it is given up:
-/// each costs a connect timeout, and a request has time for few of these.
-constexpr size_t kMostServersTried = 6;
+/// Maximum attempts of one request. An attempt that finds no connection costs a
+/// connect timeout, and a request has time for few of these.
+constexpr size_t kMaxServersTried = 6;
 
-/// With less time than this a further attempt can't be answered in time.
-constexpr Duration kLeastTimeForAttempt = std::chrono::milliseconds(30);
+/// With less time left than this, a further attempt cannot be answered in time.
+constexpr Duration kMinTimeForAttempt = std::chrono::milliseconds(30);
 
 bool IsSuccess(int status) {
   return status >= kFirstSuccess && status < kFirstRedirect;
@@ -35,7 +35,7 @@
                        kEventStream);
 }
 
-/// The server's head as the client gets it.
+/// The head without connection fields.
 ResponseHead ForClient(const ResponseHead& head) {
   ResponseHead passed = head;
   passed.fields = WithoutConnectionFields(head.fields);
@@ -55,7 +55,7 @@
   }
 }
 
-/// Seconds with three decimals; clients read fractions.
+/// Seconds with three decimals; clients accept fractions.
 std::string RetryAfterValue(Duration wait) {
   constexpr int64_t kMillisecondsPerSecond = 1000;
   const int64_t ms = std::max<int64_t>(1, ToMilliseconds(wait));
@@ -73,9 +73,9 @@
                                      ForwardCodec codec,
                                      ForwardPort& port,
                                      const ServerDirectory& directory,
-                                     SlotRouter& slots,
+                                     SlotRouter& slot_router,
                                      CrashGuard& crashes,
-                                     RolloutGuide& rollouts,
+                                     RolloutGuide& version_selector,
                                      const Clock& clock,
                                      const EventLog& log,
                                      Metrics& metrics)
@@ -84,21 +84,23 @@
       timing_(options.timing),
       port_(port),
       directory_(directory),
-      slots_(slots),
+      slot_router_(slot_router),
       crashes_(crashes),
-      rollouts_(rollouts),
+      version_selector_(version_selector),
       clock_(clock),
       log_(log),
       metrics_(metrics),
       rates_(options.rates, clock.Now()),
-      entries_(rates_.share().Entries(clock.Now())) {
-  options_.retries.extra = options_.retry_extra / static_cast<double>(entries_);
+      sharing_entries_(rates_.share().Entries(clock.Now())) {
+  options_.retries.extra =
+      options_.retry_extra / static_cast<double>(sharing_entries_);
 }
 
 void ForwardController::OnRouteTable(std::shared_ptr<const RouteTable> table) {
   assert(table != nullptr);
-  // Failure: a late answer brings a version that a newer one has replaced.
-  // Symptom: a route that was dropped is served again. Versions only go up.
+  // A delayed answer of the store may contain a version that a newer one has
+  // replaced. If it were put in force, a route that was removed would be served
+  // again.
   if (table_ != nullptr && table->version() <= table_->version()) {
     return;
   }
@@ -107,18 +109,18 @@
                                 {"routes", table->content().routes.size()},
                                 {"teams", table->content().teams.size()}});
   table_ = std::move(table);
-  std::erase_if(ages_, [this](const auto& item) {
+  std::erase_if(client_ages_, [this](const auto& item) {
     return std::ranges::none_of(
         table_->content().routes, [&item](const Route& route) {
           return item.first == std::pair(route.name, route.timeout);
         });
   });
-  std::erase_if(history_, [this](const auto& item) {
+  std::erase_if(route_history_, [this](const auto& item) {
     return std::ranges::none_of(
         table_->content().routes,
         [&item](const Route& route) { return item.first == route.name; });
   });
-  BeginEarly();
+  BeginEarlyRequests();
 }
 
 void ForwardController::OnRequest(ExchangeId exchange,
@@ -138,33 +140,36 @@
     Begin(exchange, std::move(head), std::move(body), *std::move(terms), now);
     return;
   }
-  // Failure: all entries are killed while the store is away. Symptom: each
-  // client is refused, comes back at once, is refused again and has no further
-  // try. Waiting a little saves the try.
-  const double part = options_.unconfigured_wait_per_time_left *
-                      ToSeconds(terms->time_left.value_or(Duration::max()));
-  const Duration wait =
-      FromSeconds(std::min(ToSeconds(options_.unconfigured_wait), part));
-  KeepEarly(exchange, {.head = std::move(head),
-                       .body = std::move(body),
-                       .terms = *std::move(terms),
-                       .arrived = now,
-                       .waits_until = now + wait});
+  // If all entries were killed while the store is unavailable, a client that is
+  // refused comes back at once, is refused again and has no further attempt. A
+  // short wait saves the attempt.
+  const double wait_seconds =
+      options_.unconfigured_wait_per_time_left *
+      ToSeconds(terms->time_left.value_or(Duration::max()));
+  const Duration wait = FromSeconds(
+      std::min(ToSeconds(options_.max_unconfigured_wait), wait_seconds));
+  HoldEarlyRequest(exchange, {.head = std::move(head),
+                              .body = std::move(body),
+                              .terms = *std::move(terms),
+                              .arrived = now,
+                              .waits_until = now + wait});
 }
 
-void ForwardController::KeepEarly(ExchangeId exchange, EarlyRequest request) {
+void ForwardController::HoldEarlyRequest(ExchangeId exchange,
+                                         EarlyRequest request) {
   held_body_bytes_ += request.body.size();
-  early_[exchange] = std::move(request);
+  early_requests_[exchange] = std::move(request);
 }
 
-void ForwardController::BeginEarly() {
-  // One that begins may have to wait on, or end another's wait.
+void ForwardController::BeginEarlyRequests() {
+  // A request may be held back again or end the wait of another, so the ids are
+  // copied.
   std::vector<ExchangeId> waiting;
-  for (const auto& [exchange, early] : early_) {
+  for (const auto& [exchange, early] : early_requests_) {
     waiting.push_back(exchange);
   }
   for (const ExchangeId exchange : waiting) {
-    auto node = early_.extract(exchange);
+    auto node = early_requests_.extract(exchange);
     if (node.empty()) {
       continue;
     }
@@ -175,16 +180,16 @@
   }
 }
 
-void ForwardController::CheckEarly(TimePoint now) {
+void ForwardController::CheckEarlyRequests(TimePoint now) {
   if (table_ != nullptr) {
     if (!rates_.share().Joining(now)) {
-      BeginEarly();
+      BeginEarlyRequests();
     }
     return;
   }
-  const bool crowded = held_body_bytes_ > options_.held_body_bytes;
-  for (auto early = early_.begin(); early != early_.end();) {
-    if (now < early->second.waits_until && !crowded) {
+  const bool over_body_limit = held_body_bytes_ > options_.held_body_bytes;
+  for (auto early = early_requests_.begin(); early != early_requests_.end();) {
+    if (now < early->second.waits_until && !over_body_limit) {
       ++early;
       continue;
     }
@@ -192,7 +197,7 @@
     Refuse(early->first, early->second.terms.request_id,
            {.code = ResultCode::kNoConfiguration,
             .retry_after = options_.unconfigured_retry_after});
-    early = early_.erase(early);
+    early = early_requests_.erase(early);
   }
 }
 
@@ -213,11 +218,11 @@
   request->arrived = arrived;
   if (const std::optional<Refusal> refusal = Admit(*request)) {
     if (refusal->undecided) {
-      // It is not known to be beyond the rate; half a second later it is.
-      KeepEarly(exchange, {.head = std::move(request->head),
-                           .body = std::move(request->body),
-                           .terms = std::move(request->terms),
-                           .arrived = arrived});
+      // Whether the request exceeds the rate is known half a second later.
+      HoldEarlyRequest(exchange, {.head = std::move(request->head),
+                                  .body = std::move(request->body),
+                                  .terms = std::move(request->terms),
+                                  .arrived = arrived});
       return;
     }
     LogEnd(*request, Describe(refusal->code).name,
@@ -233,10 +238,10 @@
   held_body_bytes_ += request->body.size();
   ForwardedRequest& admitted = *request;
   requests_[exchange] = std::move(request);
-  retries_.try_emplace(admitted.service, options_.retries)
+  retry_windows_.try_emplace(admitted.service, options_.retries)
       .first->second.OnRequest(clock_.Now());
   crashes_.OnArrival(admitted.fingerprint);
-  Wait(admitted);
+  Enqueue(admitted);
 }
 
 std::optional<ForwardController::Refusal> ForwardController::Admit(
@@ -259,28 +264,28 @@
     if (team != nullptr) {
       request.team = team->name;
       request.priority = team->priority.value_or(route.priority);
-      request.ranked_by_team = team->priority.has_value();
+      request.has_team_priority = team->priority.has_value();
     }
   }
-  constexpr Duration kLongest = std::chrono::hours(1);
+  constexpr Duration kMaxTimeLeft = std::chrono::hours(1);
   request.due =
       request.arrived +
-      std::min(request.terms.time_left.value_or(kLongest),
-               route.timeout > Duration::zero() ? route.timeout : kLongest);
+      std::min(request.terms.time_left.value_or(kMaxTimeLeft),
+               route.timeout > Duration::zero() ? route.timeout : kMaxTimeLeft);
   request.first_sent =
       request.arrived -
-      ages_[{route.name, route.timeout}].OnRequest(
-          std::max(request.due - request.arrived, kLeastTimeForAttempt));
+      client_ages_[{route.name, route.timeout}].OnRequest(
+          std::max(request.due - request.arrived, kMinTimeForAttempt));
   request.last_event_id = request.terms.last_event_id;
   request.is_long =
-      route.streaming && history_[route.name].sizes.IsLong(request.terms);
+      route.streaming && route_history_[route.name].sizes.IsLong(request.terms);
   if (held_body_bytes_ + request.body.size() > options_.held_body_bytes) {
     return Refusal{.code = ResultCode::kOverloaded};
   }
-  return TakeRate(request);
+  return UseTeamRate(request);
 }
 
-std::optional<ForwardController::Refusal> ForwardController::TakeRate(
+std::optional<ForwardController::Refusal> ForwardController::UseTeamRate(
     ForwardedRequest& request) {
   const TeamTerms* team =
       request.team.empty() ? nullptr : table_->FindTeam(request.team);
@@ -297,7 +302,7 @@
   if (!shortage.has_value()) {
     return std::nullopt;
   }
-  // While undecided it is not refused but looked at again.
+  // An undecided request is not refused but checked again later.
   log_.Info(shortage->undecided ? "rate_waits" : "rate_refused",
             {{"id", request.terms.request_id},
              {"team", team->name},
@@ -345,13 +350,13 @@
   }
 }
 
-void ForwardController::Wait(ForwardedRequest& request) {
+void ForwardController::Enqueue(ForwardedRequest& request) {
   request.state = State::kWaiting;
   const bool held_before = std::exchange(request.held, false);
   if (!held_before) {
     request.waiting_since = clock_.Now();
   }
-  if (!rollouts_.known()) {
+  if (!version_selector_.known()) {
     request.held = true;
     return;
   }
@@ -362,8 +367,9 @@
   }
   if (decision.kind == CrashDecision::Kind::kWait) {
     request.held = true;
-    const bool doubted = decision.assessment.standing != CrashStanding::kClear;
-    if (!held_before && doubted) {
+    const bool suspected =
+        decision.assessment.standing != CrashStanding::kClear;
+    if (!held_before && suspected) {
       log_.Info("crash_waits", {{"id", request.terms.request_id},
                                 {"fingerprint", request.fingerprint},
                                 {"lost", decision.assessment.lost},
@@ -374,68 +380,69 @@
   request.standing = decision.assessment.standing;
   request.attempt = ++last_attempt_;
   attempts_[request.attempt] = request.exchange;
-  SlotAsk ask = AskFor(request);
+  SlotAsk ask = MakeSlotRequest(request);
   // The slot may be granted before this returns.
-  slots_.Ask(std::move(ask));
+  slot_router_.Ask(std::move(ask));
 }
 
-SlotAsk ForwardController::AskFor(const ForwardedRequest& request) {
+SlotAsk ForwardController::MakeSlotRequest(const ForwardedRequest& request) {
   const Route& route = *request.route;
-  const RouteHistory& history = history_[route.name];
-  SlotAsk ask = {
-      .attempt = request.attempt,
-      .service = request.service,
-      .model_server = request.model_server,
-      .priority = request.priority,
-      .route_priority = route.priority,
-      .in_time_until = timing_.InTimeUntil(request, AnswerTime(history)),
-      .due = request.due,
-      .standing = request.standing};
+  const RouteHistory& history = route_history_[route.name];
+  SlotAsk ask = {.attempt = request.attempt,
+                 .service = request.service,
+                 .model_server = request.model_server,
+                 .priority = request.priority,
+                 .route_priority = route.priority,
+                 .in_time_until = timing_.LatestStartInTime(
+                     request, AnswerTimeQuantile(history)),
+                 .due = request.due,
+                 .standing = request.standing};
   for (const std::string& server : request.tried) {
     ask.tried.push_back(HashBytes(server));
   }
   RolloutGuide::Choice choice =
-      rollouts_.Choose(request.service, route.name, request.fresh());
+      version_selector_.Choose(request.service, route.name, request.fresh());
   ask.version = std::move(choice.version);
   ask.canary_version = std::move(choice.canary);
   if (!request.streams()) {
     return ask;
   }
   if (request.head_sent) {
-    // Its client has a part of the answer and sees a pause: before all others
-    // of its team's rank.
+    // The client has a part of the answer and sees a pause: the request goes
+    // first within the rank of its team.
     ask.route_priority = table_->first_priority() - 1;
   }
   ask.size = history.sizes.Of(request.terms);
   ask.event_gap_target = route.event_gap_target;
-  // One that was sent before has waited its turn.
+  // A request that was sent before has already waited, so length does not delay
+  // it.
   const bool goes_last = request.is_long && history.long_requests.GoLast();
   ask.by_length = request.tried.empty() && (!request.is_long || goes_last);
   if (ask.by_length && goes_last && route.priority > table_->first_priority()) {
-    // With the next rank: what is promised to the most urgent one holds for its
-    // long requests too.
+    // With the next rank, except in the most urgent one, whose target also
+    // holds for long requests.
     ++ask.route_priority;
-    ask.priority += request.ranked_by_team ? 0 : 1;
+    ask.priority += request.has_team_priority ? 0 : 1;
   }
   return ask;
 }
 
-std::optional<Duration> ForwardController::AnswerTime(
+std::optional<Duration> ForwardController::AnswerTimeQuantile(
     const RouteHistory& history) {
   return history.answer_ms.empty()
              ? std::nullopt
              : std::optional(FromMilliseconds(history.answer_ms.value()));
 }
 
-void ForwardController::NoteEndOfWait(const ForwardedRequest& request,
-                                      bool got_slot) {
+void ForwardController::RecordEndOfWait(const ForwardedRequest& request,
+                                        bool got_slot) {
   if (request.streams() && request.tried.empty()) {
-    history_[request.route->name].long_requests.OnEndOfWait(request.is_long,
-                                                            got_slot);
+    route_history_[request.route->name].long_requests.OnEndOfWait(
+        request.is_long, got_slot);
   }
 }
 
-bool ForwardController::OnSlot(const std::string& gate,
+bool ForwardController::OnSlot(const std::string& scheduler,
                                const SlotGrant& grant) {
   ForwardedRequest* request = FindByAttempt(grant.attempt);
   if (request == nullptr || request->state != State::kWaiting) {
@@ -443,26 +450,27 @@
   }
   const BackendServer* server = directory_.Find(grant.server);
   if (server == nullptr || server->draining) {
-    // Our list is newer than the gate's.
+    // The list here is newer than that of the slot scheduler.
     EndAttempt(*request, {.kind = SlotResult::Kind::kReplaced});
-    Wait(*request);
+    Enqueue(*request);
     return true;
   }
-  // What was learned since it asked may keep it, or place it elsewhere.
-  if (!rollouts_.Admits(request->service, server->version) ||
+  // What arrived since the slot request may hold the request or change its
+  // placement.
+  if (!version_selector_.Admits(request->service, server->version) ||
       DecideOnCrashes(*request).kind != CrashDecision::Kind::kRun ||
       crashes_.StandingOf(request->fingerprint) > request->standing) {
     EndAttempt(*request, {});
-    Wait(*request);
+    Enqueue(*request);
     return true;
   }
-  SendTo(*request, *server, gate, grant);
+  SendTo(*request, *server, scheduler, grant);
   return true;
 }
 
 void ForwardController::SendTo(ForwardedRequest& request,
                                const BackendServer& server,
-                               const std::string& gate,
+                               const std::string& scheduler,
                                const SlotGrant& grant) {
   const TimePoint now = clock_.Now();
   const std::string key = server.start_key();
@@ -470,23 +478,23 @@
                      {"server", key},
                      {"version", server.version},
                      {"attempt", request.tried.size() + 1},
-                     {"gate", gate},
+                     {"gate", scheduler},
                      {"config_version", request.table->version()},
                      {"priority", request.priority},
                      {"in_flight", grant.in_flight},
                      {"pace_ms", grant.pace_ms},
                      {"waited_ms", ToMilliseconds(now - request.waiting_since)},
                      {"left_ms", ToMilliseconds(request.due - now)}});
-  NoteEndOfWait(request, /*got_slot=*/true);
+  RecordEndOfWait(request, /*got_slot=*/true);
   crashes_.OnSent(request.fingerprint);
   request.version_attempt =
-      rollouts_.OnSent(request.service, request.route->name, server,
-                       grant.in_flight, request.fresh());
+      version_selector_.OnSent(request.service, request.route->name, server,
+                               grant.in_flight, request.fresh());
   request.state = State::kSent;
   request.server = key;
   request.tried.push_back(key);
   request.sent_at = now;
-  request.heard_at = now;
+  request.last_received_at = now;
   request.answer_head.reset();
   request.answer_body.clear();
   request.rejected = false;
@@ -502,8 +510,9 @@
       {.server = key,
        .address = server.address,
        .bytes = EncodeRequest(head, request.body),
-       .reuse_within = request.may_repeat() ? options_.reuse_within
-                                            : options_.reuse_once_within});
+       .reuse_within = request.may_repeat()
+                           ? options_.reuse_within
+                           : options_.max_non_repeatable_reuse_idle_time});
 }
 
 ForwardedRequest* ForwardController::FindByAttempt(AttemptId attempt) {
@@ -515,9 +524,9 @@
                                    const SlotResult& result) {
   const AttemptId attempt = std::exchange(request.attempt, 0);
   attempts_.erase(attempt);
-  rollouts_.OnOver(request.service, request.version_attempt);
+  version_selector_.OnOver(request.service, request.version_attempt);
   request.state = State::kWaiting;
-  slots_.Done(attempt, result);
+  slot_router_.Done(attempt, result);
 }
 
 ForwardController::HeadVerdict ForwardController::OnAnswerHead(
@@ -529,12 +538,12 @@
     return HeadVerdict::kDrop;
   }
   const AnswerTerms terms = codec_.read_answer(head);
-  // Failure: a server answers an earlier request twice, and the second copy
-  // comes where this answer is due. Symptom: a client gets another's answer.
-  // The echoed id tells them apart; the copy is read past.
-  const bool other = !terms.request_id.empty() &&
-                     terms.request_id != request->terms.request_id;
-  if (other) {
+  // A server may answer an earlier request twice, and the second copy arrives
+  // where this answer is expected. The echoed id identifies the copy, which is
+  // skipped; otherwise a client would get the answer to another request.
+  const bool foreign = !terms.request_id.empty() &&
+                       terms.request_id != request->terms.request_id;
+  if (foreign) {
     log_.Warn("foreign_answer", {{"id", request->terms.request_id},
                                  {"server", request->server},
                                  {"answers", terms.request_id}});
@@ -542,12 +551,12 @@
   }
   const bool rejected = terms.not_run || head.status == kMisdirected;
   const bool encoded = FindField(head.fields, "Content-Encoding") != nullptr;
-  // Without an id a refusal can only be for the one request on a connection.
+  // Without an id a rejection matches only the first request on a connection.
   const bool matched = !terms.request_id.empty() || (rejected && fresh);
   const bool genuine = rejected || (terms.sealed && !encoded);
   const bool streams =
       request->streams() && IsSuccess(head.status) && IsEventStream(head);
-  // A stream that the client has a part of goes on with nothing but a stream.
+  // A stream of which the client has a part can only be continued by a stream.
   const bool continues = !request->head_sent || streams || rejected;
   if (!matched || !genuine || !continues) {
     AfterFailure(*request, AttemptFailure::kBroken);
@@ -567,13 +576,13 @@
   if (request == nullptr) {
     return false;
   }
-  request->heard_at = clock_.Now();
+  request->last_received_at = clock_.Now();
   if (request->rejected) {
     return true;
   }
   if (request->answer_streams) {
     request->events.Feed(bytes);
-    PassEvents(*request);
+    ForwardEvents(*request);
     return true;
   }
   if (request->head_sent) {
@@ -581,7 +590,7 @@
     return true;
   }
   request->answer_body += bytes;
-  if (request->answer_body.size() > options_.held_answer_bytes) {
+  if (request->answer_body.size() > options_.max_buffered_answer_bytes) {
     request->head_sent = true;
     port_.RespondHead(request->exchange, ForClient(*request->answer_head));
     port_.RespondPart(request->exchange,
@@ -590,14 +599,14 @@
   return true;
 }
 
-void ForwardController::PassEvents(ForwardedRequest& request) {
+void ForwardController::ForwardEvents(ForwardedRequest& request) {
   const TimePoint now = clock_.Now();
   std::string passed;
   while (std::optional<StreamEvent> event = request.events.Next()) {
     if (request.event_count++ == 0) {
       request.first_event_at = now;
-      rollouts_.OnFirstPart(request.service, request.version_attempt,
-                            now - request.sent_at);
+      version_selector_.OnFirstPart(request.service, request.version_attempt,
+                                    now - request.sent_at);
     }
     if (request.head_sent) {
       request.longest_pause =
@@ -612,8 +621,8 @@
   if (passed.empty()) {
     return;
   }
-  // The head waits for the first event: until then a broken stream can be
-  // started anew or told as failed.
+  // The head is sent with the first event: until then a broken stream can be
+  // started again or reported as failed.
   if (!std::exchange(request.head_sent, true)) {
     port_.RespondHead(request.exchange, ForClient(*request.answer_head));
     metrics_.Observe("first_event_seconds{priority=\"" +
@@ -629,22 +638,22 @@
     return;
   }
   if (request->rejected) {
-    const bool wrong = request->answer_head->status == kMisdirected;
-    AfterFailure(*request, wrong ? AttemptFailure::kWrongServer
-                                 : AttemptFailure::kRejected);
+    const bool wrong_server = request->answer_head->status == kMisdirected;
+    AfterFailure(*request, wrong_server ? AttemptFailure::kWrongServer
+                                        : AttemptFailure::kRejected);
     return;
   }
   if (request->answer_streams) {
     FinishStream(*request);
   } else {
-    FinishWhole(*request);
+    FinishNonStream(*request);
   }
 }
 
 void ForwardController::FinishStream(ForwardedRequest& request) {
-  // A server may stop in the middle of an event and end its answer in order.
+  // A server may end its answer properly in the middle of an event.
   if (request.events.has_part() || !request.head_sent) {
-    // Without a length the answer ends with its connection.
+    // An answer without a length ends with its connection.
     const bool closed =
         request.answer_head->framing == BodyFraming::kUntilClose;
     AfterFailure(request, closed ? AttemptFailure::kDisconnected
@@ -652,28 +661,28 @@
     return;
   }
   if (request.tried.size() == 1) {
-    history_[request.route->name].sizes.OnAnswer(request.terms,
-                                                 request.event_count);
+    route_history_[request.route->name].sizes.OnAnswer(request.terms,
+                                                       request.event_count);
   }
-  JudgeVersion(request, /*error=*/false);
+  ReportVersionOutcome(request, /*error=*/false);
   EndAttempt(request, {.kind = SlotResult::Kind::kAnswered,
                        .pace_ms = PaceOf(request),
-                       .read = ReadOf(request)});
+                       .read = PromptReadOf(request)});
   crashes_.OnSurvived(request.fingerprint);
   port_.RespondEnd(request.exchange);
   LogEnd(request, "answered", request.answer_head->status);
-  Drop(request.exchange);
+  RemoveRequest(request.exchange);
 }
 
-void ForwardController::FinishWhole(ForwardedRequest& request) {
+void ForwardController::FinishNonStream(ForwardedRequest& request) {
   const int status = request.answer_head->status;
   const bool error = status >= kFirstServerError;
   if (!error) {
     crashes_.OnSurvived(request.fingerprint);
-    history_[request.route->name].answer_ms.Add(
+    route_history_[request.route->name].answer_ms.Add(
         ToFractionalMilliseconds(clock_.Now() - request.sent_at));
   }
-  JudgeVersion(request, error);
+  ReportVersionOutcome(request, error);
   EndAttempt(request, {.kind = error ? SlotResult::Kind::kErrored
                                      : SlotResult::Kind::kAnswered,
                        .pace_ms = PaceOf(request)});
@@ -682,7 +691,7 @@
     log_.Info("retry", {{"id", request.terms.request_id},
                         {"server", request.server},
                         {"status", status}});
-    Wait(request);
+    Enqueue(request);
     return;
   }
   if (request.head_sent) {
@@ -692,21 +701,22 @@
                   request.answer_body);
   }
   LogEnd(request, "answered", status);
-  Drop(request.exchange);
+  RemoveRequest(request.exchange);
 }
 
-void ForwardController::JudgeVersion(ForwardedRequest& request, bool error) {
+void ForwardController::ReportVersionOutcome(ForwardedRequest& request,
+                                             bool error) {
   if (error) {
-    rollouts_.OnFailed(request.service, request.version_attempt);
+    version_selector_.OnFailed(request.service, request.version_attempt);
     return;
   }
-  rollouts_.OnAnswered(request.service, request.version_attempt);
+  version_selector_.OnAnswered(request.service, request.version_attempt);
   if (!request.answer_streams) {
-    rollouts_.OnFirstPart(request.service, request.version_attempt,
-                          clock_.Now() - request.sent_at);
+    version_selector_.OnFirstPart(request.service, request.version_attempt,
+                                  clock_.Now() - request.sent_at);
   } else if (const std::optional<double> pace_ms = PaceOf(request)) {
-    rollouts_.OnPace(request.service, request.version_attempt,
-                     FromMilliseconds(*pace_ms));
+    version_selector_.OnPace(request.service, request.version_attempt,
+                             FromMilliseconds(*pace_ms));
   }
 }
 
@@ -715,10 +725,10 @@
   if (!request.model_server) {
     return ToFractionalMilliseconds(clock_.Now() - request.sent_at);
   }
-  // The pace of a few events says more of other requests' prompts than of the
-  // server.
-  constexpr int kFewestEvents = 5;
-  if (request.event_count < kFewestEvents) {
+  // Over fewer events, the pace depends more on the prompts of other requests
+  // than on the server.
+  constexpr int kMinEvents = 5;
+  if (request.event_count < kMinEvents) {
     return std::nullopt;
   }
   return ToFractionalMilliseconds(request.last_event_at -
@@ -726,11 +736,12 @@
          (request.event_count - 1);
 }
 
-std::optional<PromptRead> ForwardController::ReadOf(
+std::optional<PromptRead> ForwardController::PromptReadOf(
     const ForwardedRequest& request) {
-  // The wait for a shorter prompt says more of the way and of other prompts.
-  constexpr uint64_t kFewestTokens = 1000;
-  if (request.event_count == 0 || request.terms.prompt_tokens < kFewestTokens) {
+  // For a shorter prompt, the wait depends more on the network and on other
+  // prompts.
+  constexpr uint64_t kMinTokens = 1000;
+  if (request.event_count == 0 || request.terms.prompt_tokens < kMinTokens) {
     return std::nullopt;
   }
   return PromptRead{
@@ -765,16 +776,16 @@
     crashes_.OnServerUnreachable(HashBytes(request.server));
   }
   if (failure == AttemptFailure::kSilent) {
-    rollouts_.OnFailed(request.service, request.version_attempt);
+    version_selector_.OnFailed(request.service, request.version_attempt);
   } else if (failure == AttemptFailure::kDisconnected ||
              failure == AttemptFailure::kBroken) {
-    rollouts_.OnBroken(request.service, request.version_attempt);
+    version_selector_.OnBroken(request.service, request.version_attempt);
   }
   EndAttempt(request, {.kind = ResultKindOf(failure)});
   const RunState state = RunStateAfter(failure);
   request.runs += state == RunState::kMayHaveRun ? 1 : 0;
   if (MayRetry(request, state)) {
-    Wait(request);
+    Enqueue(request);
   } else {
     GiveUp(request, state);
   }
@@ -782,29 +793,29 @@
 
 bool ForwardController::MayRetry(ForwardedRequest& request, RunState state) {
   const TimePoint now = clock_.Now();
-  if (request.due - now < kLeastTimeForAttempt ||
-      request.tried.size() >= kMostServersTried) {
+  if (request.due - now < kMinTimeForAttempt ||
+      request.tried.size() >= kMaxServersTried) {
     return false;
   }
-  const bool repeated = request.runs > 0;
-  if (repeated &&
+  const bool may_have_run = request.runs > 0;
+  if (may_have_run &&
       (!request.may_repeat() || request.runs >= request.route->max_attempts)) {
     return false;
   }
-  // Behind an event without an id nothing can be resumed.
+  // After an event without an id the stream cannot be resumed.
   if (request.head_sent &&
       (!request.streams() || request.last_event_id.empty())) {
     return false;
   }
   return state == RunState::kUnsent ||
-         retries_.at(request.service).TryRetry(now);
+         retry_windows_.at(request.service).TryRetry(now);
 }
 
 void ForwardController::GiveUp(ForwardedRequest& request, RunState state) {
   if (request.head_sent) {
     port_.Abort(request.exchange);
     LogEnd(request, "cut", 0);
-    Drop(request.exchange);
+    RemoveRequest(request.exchange);
     return;
   }
   if (request.runs > 0) {
@@ -817,9 +828,10 @@
 }
 
 void ForwardController::OnClientGone(ExchangeId exchange) {
-  if (const auto early = early_.find(exchange); early != early_.end()) {
+  if (const auto early = early_requests_.find(exchange);
+      early != early_requests_.end()) {
     held_body_bytes_ -= early->second.body.size();
-    early_.erase(early);
+    early_requests_.erase(early);
     return;
   }
   const auto found = requests_.find(exchange);
@@ -831,10 +843,11 @@
     port_.Cancel(request.attempt);
   }
   LogEnd(request, "client_gone", 0);
-  Drop(exchange);
+  RemoveRequest(exchange);
 }
 
-void ForwardController::CheckTime(ForwardedRequest& request, TimePoint now) {
+void ForwardController::CheckTimeLimits(ForwardedRequest& request,
+                                        TimePoint now) {
   if (now >= request.due) {
     if (request.state == State::kSent) {
       port_.Cancel(request.attempt);
@@ -849,32 +862,33 @@
     return;
   }
   if (request.state == State::kWaiting) {
-    if (now < timing_.WaitsUntil(request)) {
+    if (now < timing_.SlotWaitEnd(request)) {
       if (request.held) {
-        Wait(request);
+        Enqueue(request);
       }
       return;
     }
     if (request.runs > 0 || request.head_sent) {
       GiveUp(request, RunState::kMayHaveRun);
     } else {
-      NoteEndOfWait(request, /*got_slot=*/false);
-      const bool none = directory_.Usable(request.service).empty();
-      RefuseRequest(request, {.code = none ? ResultCode::kNoServer
-                                           : ResultCode::kOverloaded,
-                              .retry_after = timing_.ComeBackAfter(request)});
+      RecordEndOfWait(request, /*got_slot=*/false);
+      const bool no_servers = directory_.Usable(request.service).empty();
+      RefuseRequest(request, {.code = no_servers ? ResultCode::kNoServer
+                                                 : ResultCode::kOverloaded,
+                              .retry_after = timing_.RetryAfter(request)});
     }
     return;
   }
   if (request.event_count == 0 && !request.answer_head.has_value()) {
-    rollouts_.OnNothingYet(request.service, request.version_attempt,
-                           now - request.sent_at);
+    version_selector_.OnNothingYet(request.service, request.version_attempt,
+                                   now - request.sent_at);
   }
-  const bool silent = now - request.heard_at >= timing_.LongestSilence(request);
+  const bool silent =
+      now - request.last_received_at >= timing_.MaxSilence(request);
   if (silent && request.may_repeat() &&
       request.runs + 1 < request.route->max_attempts) {
-    // The former server's connection is closed before another gets the
-    // request, so that two never work on it side by side for long.
+    // The connection to the former server is closed before another server gets
+    // the request, so that the two do not work on it at the same time for long.
     port_.Cancel(request.attempt);
     AfterFailure(request, AttemptFailure::kSilent);
   }
@@ -882,16 +896,16 @@
 
 void ForwardController::Tick() {
   const TimePoint now = clock_.Now();
-  CheckEarly(now);
-  std::vector<ExchangeId> all;
-  all.reserve(requests_.size());
+  CheckEarlyRequests(now);
+  std::vector<ExchangeId> exchanges;
+  exchanges.reserve(requests_.size());
   for (const auto& [exchange, request] : requests_) {
-    all.push_back(exchange);
+    exchanges.push_back(exchange);
   }
-  for (const ExchangeId exchange : all) {
+  for (const ExchangeId exchange : exchanges) {
     const auto found = requests_.find(exchange);
     if (found != requests_.end()) {
-      CheckTime(*found->second, now);
+      CheckTimeLimits(*found->second, now);
     }
   }
 }
@@ -901,7 +915,7 @@
   LogEnd(request, Describe(refusal.code).name,
          Describe(refusal.code).http_status);
   Refuse(request.exchange, request.terms.request_id, refusal);
-  Drop(request.exchange);
+  RemoveRequest(request.exchange);
 }
 
 void ForwardController::Refuse(ExchangeId exchange,
@@ -934,12 +948,12 @@
                                std::string_view outcome,
                                int status) {
   const TimePoint now = clock_.Now();
-  // From the last sending; -1 if there was none.
+  // Counted from the last attempt; -1 without an event.
   const int64_t first_event_ms =
       request.event_count == 0
           ? -1
           : ToMilliseconds(request.first_event_at - request.sent_at);
-  // For the slot that it has not got; 0 if it got one.
+  // Time waited for a slot that was not granted; else 0.
   const int64_t waiting_ms =
       request.state == State::kWaiting && request.attempt != 0
           ? ToMilliseconds(now - request.waiting_since)
@@ -960,7 +974,7 @@
              {"most_output_tokens", request.terms.output_tokens},
              {"expected_output_tokens", request.terms.expected_output_tokens},
              {"server", request.server},
-             {"gate", slots_.GateAsked(request.attempt)},
+             {"gate", slot_router_.GateAsked(request.attempt)},
              {"waiting_ms", waiting_ms},
              {"first_event_ms", first_event_ms},
              {"longest_pause_ms", ToMilliseconds(request.longest_pause)},
@@ -969,7 +983,7 @@
   metrics_.Observe("request_seconds", ToSeconds(now - request.arrived));
 }
 
-void ForwardController::Drop(ExchangeId exchange) {
+void ForwardController::RemoveRequest(ExchangeId exchange) {
   const auto found = requests_.find(exchange);
   held_body_bytes_ -= found->second->body.size();
   if (found->second->attempt != 0) {
@@ -1014,14 +1028,15 @@
   rates_.ForgetPeer(peer);
 }
 
-void ForwardController::OnPeerCount(size_t known, size_t heard) {
-  rates_.share().OnPeerCount(known, heard, clock_.Now());
-  const size_t sharing = rates_.share().Entries(clock_.Now());
-  if (std::exchange(entries_, sharing) == sharing) {
+void ForwardController::OnPeerCount(size_t known, size_t reporting) {
+  rates_.share().OnPeerCount(known, reporting, clock_.Now());
+  const size_t sharing_count = rates_.share().Entries(clock_.Now());
+  if (std::exchange(sharing_entries_, sharing_count) == sharing_count) {
     return;
   }
-  options_.retries.extra = options_.retry_extra / static_cast<double>(entries_);
-  for (auto& [service, window] : retries_) {
+  options_.retries.extra =
+      options_.retry_extra / static_cast<double>(sharing_entries_);
+  for (auto& [service, window] : retry_windows_) {
     window.set_extra(options_.retries.extra);
   }
 }
--- a/lavenderkeel/forward/forward_controller.h
+++ b/lavenderkeel/forward/forward_controller.h
@@ -33,68 +33,71 @@
 
 namespace lavenderkeel {
 
-/// What one entry tells the others, some times a second.
+/// Status that an entry sends to others several times a second.
 struct ForwardReport {
   uint64_t table_version = 0;
   std::vector<ServerCount> in_flight;
-  /// Of this entry's own requests.
+  /// Rate usage by this entry's own requests.
   DrawTotals team_totals;
 
   friend bool operator==(const ForwardReport&, const ForwardReport&) = default;
 };
 
-/// Brings clients' requests to backend servers and the answers back.
+/// Forwards client requests to backend servers and the answers to the clients.
 ///
-/// Holds every request from arrival to its one final answer: route, team and
-/// rate, the queue, one attempt after another, resuming of streams, and what
-/// the client is told when there is no answer. Steps without sockets.
+/// Owns every request from its arrival to its single final answer: route, team
+/// and rate, the queue, successive attempts, resumption of streams, and the
+/// answer to the client if no server gives one. Contains no socket code.
 class ForwardController {
  public:
   struct Options {
     RetryWindow::Options retries;
     TeamRates::Options rates;
-    /// Extra sendings of all entries together, see RetryWindow.
+    /// Extra retries of all entries together, see RetryWindow.
     double retry_extra = 52;
     RequestTiming::Options timing;
-    /// Idle connections to servers are used again up to this age.
+    /// Idle connections to servers are reused up to this idle time.
     Duration reuse_within = std::chrono::seconds(8);
-    /// The same for work that may run once only: a connection that the server
-    /// is closing would leave in doubt whether it ran.
-    Duration reuse_once_within = std::chrono::milliseconds(400);
-    /// Answers that are not streams are held back until whole up to this size,
-    /// so that one cut short can be fetched again or told as failed.
-    size_t held_answer_bytes = size_t{256} << 10;
-    /// Bodies of waiting and running requests together; above it new ones are
-    /// refused. Set from the memory of the instance.
+    /// The same for requests that may run only once: on a connection that the
+    /// server is closing, it would be in doubt whether the request ran.
+    Duration max_non_repeatable_reuse_idle_time =
+        std::chrono::milliseconds(400);
+    /// Answers that are not streams are buffered until complete up to this
+    /// size, so that a truncated answer can be fetched again or reported as
+    /// failed.
+    size_t max_buffered_answer_bytes = size_t{256} << 10;
+    /// Limit for the bodies of waiting and running requests together; above it,
+    /// new requests are refused. Set from the memory of the instance.
     size_t held_body_bytes = size_t{64} << 20;
-    /// A request that comes before the first configuration waits for it this
-    /// part of its time, at most that long.
+    /// A request that arrives before the first configuration waits for it for
+    /// this fraction of its time left, up to the maximum.
     double unconfigured_wait_per_time_left = 0.2;
-    Duration unconfigured_wait = std::chrono::milliseconds(1500);
-    /// Retry-After without a configuration: about what a store takes to return
-    /// and an entry to read it.
+    Duration max_unconfigured_wait = std::chrono::milliseconds(1500);
+    /// Retry-After without a configuration: about the time in which the store
+    /// recovers and an entry reads it.
     Duration unconfigured_retry_after = std::chrono::milliseconds(1200);
-    /// Retry-After where nothing better is known.
+    /// Default Retry-After.
     Duration retry_after = std::chrono::milliseconds(300);
   };
 
-  /// @param slots where this controller asks for slots; its grants come back
-  ///     through OnSlot
-  /// @param crashes which requests end their servers; kept by the owner, who
-  ///     shares it with other entries
-  /// @param rollouts which versions of servers requests may run at
+  /// @param slot_router receives the slot requests of this controller; the
+  /// grants
+  ///     come back through OnSlot
+  /// @param crashes knows which requests crash their servers; kept by the
+  ///     owner, who shares its evidence with other entries
+  /// @param version_selector decides at which server versions requests may run
   ForwardController(const Options& options,
                     ForwardCodec codec,
                     ForwardPort& port,
                     const ServerDirectory& directory,
-                    SlotRouter& slots,
+                    SlotRouter& slot_router,
                     CrashGuard& crashes,
-                    RolloutGuide& rollouts,
+                    RolloutGuide& version_selector,
                     const Clock& clock,
                     const EventLog& log,
                     Metrics& metrics);
 
-  /// Puts a configuration in force, unless a newer one is.
+  /// Puts a configuration in force, unless a newer one already is.
   void OnRouteTable(std::shared_ptr<const RouteTable> table);
   const std::shared_ptr<const RouteTable>& table() const { return table_; }
   /// Zero before the first.
@@ -104,60 +107,62 @@
 
   // Clients.
   void OnRequest(ExchangeId exchange, RequestHead head, std::string body);
-  /// A request that could not be read; answered with that code.
+  /// Answers a request that could not be parsed with that code.
   void OnBadRequest(ExchangeId exchange, ResultCode code);
   void OnClientGone(ExchangeId exchange);
-  /// From now on new requests are refused; those that are here go on.
+  /// New requests are refused from now on; earlier ones are finished.
   void RefuseNew() { refuses_new_ = true; }
 
-  /// A slot for an attempt. @return false if it is not wanted
-  bool OnSlot(const std::string& gate, const SlotGrant& grant);
+  /// Uses a granted slot.
+  /// @return false if it is no longer wanted
+  bool OnSlot(const std::string& scheduler, const SlotGrant& grant);
 
   // Servers.
   enum class HeadVerdict {
-    /// It answers the attempt's request.
+    /// It answers the request.
     kTake,
-    /// It answers another request; the next message may be the one.
+    /// It answers another request; the next message may answer this one.
     kSkip,
-    /// It is no answer. The attempt is over, the connection is to be closed.
+    /// It is no valid answer. The attempt is over; the connection is to be
+    /// closed.
     kDrop,
   };
-  /// @param fresh nothing was answered on this connection before
+  /// @param fresh whether nothing was answered on this connection before
   HeadVerdict OnAnswerHead(AttemptId attempt,
                            const ResponseHead& head,
                            bool fresh);
-  /// @return false if the attempt is not wanted any more
+  /// @return false if the attempt is no longer wanted
   bool OnAnswerPart(AttemptId attempt, std::string bytes);
   void OnAnswerEnd(AttemptId attempt);
   void OnAttemptFailed(AttemptId attempt, AttemptFailure failure);
 
   // Other entries.
-  /// What the others are to know of this one.
+  /// The status of this entry for the other entries.
   ForwardReport Report() const;
   void OnPeerReport(const std::string& peer, const ForwardReport& report);
-  /// What a coordinator passes on of the draws of others.
+  /// Records the rate usage at other entries, relayed by a coordinator.
   void OnRelayedTotals(const std::string& coordinator,
                        const DrawTotals& totals);
   void OnPeerLost(const std::string& peer);
-  /// How many entries share the bounds, this one included, and how many of
-  /// these are heard of.
-  void OnPeerCount(size_t known, size_t heard);
-  /// An entry is heard of that was here before this one started.
+  /// Number of entries that share the bounds, and of those that report here;
+  /// both include this entry.
+  void OnPeerCount(size_t known, size_t reporting);
+  /// Records that an entry is connected that started before this one.
   void OnOlderPeer() { rates_.share().OnOlderPeer(); }
 
-  /// Looks at the time: ends waits, silences, and requests that are due.
+  /// Ends waits, silent attempts and requests whose time is over.
   void Tick();
 
-  /// Requests without their final answer.
-  size_t open() const { return requests_.size() + early_.size(); }
+  /// Number of requests without a final answer.
+  size_t open() const { return requests_.size() + early_requests_.size(); }
   /// Those that are not at a server.
   size_t waiting() const;
 
  private:
   using RequestPtr = std::unique_ptr<ForwardedRequest>;
 
-  /// A request that came before the first configuration, or before it was known
-  /// what the other entries let through of its team's rate.
+  /// A request that arrived before the first configuration, or before it was
+  /// known what the other entries used of the rate of its team.
   struct EarlyRequest {
     RequestHead head;
     std::string body;
@@ -167,62 +172,64 @@
     TimePoint waits_until;
   };
 
-  /// What was learned of a route.
+  /// Statistics of a route.
   struct RouteHistory {
     SizeEstimate sizes;
     LongRequests long_requests;
-    /// From the sending to the whole answer of a plain service, in
-    /// milliseconds.
+    /// Time in milliseconds from sending a request to a plain service to the
+    /// complete answer.
     HighQuantile answer_ms;
   };
   struct Refusal {
     ResultCode code;
     std::optional<Duration> retry_after;
-    /// Not to be told yet; see TeamRates::Shortage.
+    /// Not to be sent yet; see TeamRates::Shortage.
     bool undecided = false;
   };
 
-  /// Reads, admits or refuses a request under the configuration in force.
+  /// Admits or refuses a request under the configuration in force.
   void Begin(ExchangeId exchange,
              RequestHead head,
              std::string body,
              RequestTerms terms,
              TimePoint arrived);
   std::optional<Refusal> Admit(ForwardedRequest& request);
-  void KeepEarly(ExchangeId exchange, EarlyRequest request);
-  void BeginEarly();
-  /// Begins or refuses those that have waited long enough.
-  void CheckEarly(TimePoint now);
-  std::optional<Refusal> TakeRate(ForwardedRequest& request);
-  /// Asks for a slot, unless the request has to wait for an equal one or is
-  /// refused.
-  void Wait(ForwardedRequest& request);
+  void HoldEarlyRequest(ExchangeId exchange, EarlyRequest request);
+  void BeginEarlyRequests();
+  /// Begins or refuses the early requests whose wait is over.
+  void CheckEarlyRequests(TimePoint now);
+  std::optional<Refusal> UseTeamRate(ForwardedRequest& request);
+  /// Asks for a slot, unless the request is refused or held for an equal one or
+  /// for the rollout plans.
+  void Enqueue(ForwardedRequest& request);
   CrashDecision DecideOnCrashes(const ForwardedRequest& request) const;
   void RefuseAsCrashing(ForwardedRequest& request,
                         const CrashDecision& decision);
-  /// How long servers take, at the long end; nothing before the first answer.
-  static std::optional<Duration> AnswerTime(const RouteHistory& history);
-  void NoteEndOfWait(const ForwardedRequest& request, bool got_slot);
-  SlotAsk AskFor(const ForwardedRequest& request);
+  /// Of a plain service; nothing before the first answer.
+  static std::optional<Duration> AnswerTimeQuantile(
+      const RouteHistory& history);
+  void RecordEndOfWait(const ForwardedRequest& request, bool got_slot);
+  SlotAsk MakeSlotRequest(const ForwardedRequest& request);
   void SendTo(ForwardedRequest& request,
               const BackendServer& server,
-              const std::string& gate,
+              const std::string& scheduler,
               const SlotGrant& grant);
-  void CheckTime(ForwardedRequest& request, TimePoint now);
+  void CheckTimeLimits(ForwardedRequest& request, TimePoint now);
 
   ForwardedRequest* FindByAttempt(AttemptId attempt);
-  /// The attempt is over, sent or not; its slot is free again.
+  /// Ends the attempt, whether or not it was sent, and frees its slot.
   void EndAttempt(ForwardedRequest& request, const SlotResult& result);
   void AfterFailure(ForwardedRequest& request, AttemptFailure failure);
   bool MayRetry(ForwardedRequest& request, RunState state);
   void GiveUp(ForwardedRequest& request, RunState state);
-  void PassEvents(ForwardedRequest& request);
-  void FinishWhole(ForwardedRequest& request);
+  void ForwardEvents(ForwardedRequest& request);
+  void FinishNonStream(ForwardedRequest& request);
   void FinishStream(ForwardedRequest& request);
-  /// What the attempt's whole answer says of its server's version.
-  void JudgeVersion(ForwardedRequest& request, bool error);
+  /// Reports to the rollout what the complete answer shows of the version.
+  void ReportVersionOutcome(ForwardedRequest& request, bool error);
   std::optional<double> PaceOf(const ForwardedRequest& request) const;
-  static std::optional<PromptRead> ReadOf(const ForwardedRequest& request);
+  static std::optional<PromptRead> PromptReadOf(
+      const ForwardedRequest& request);
 
   void Refuse(ExchangeId exchange,
               const std::string& request_id,
@@ -231,31 +238,31 @@
   void LogEnd(const ForwardedRequest& request,
               std::string_view outcome,
               int status);
-  void Drop(ExchangeId exchange);
+  void RemoveRequest(ExchangeId exchange);
 
   Options options_;
   ForwardCodec codec_;
   RequestTiming timing_;
   ForwardPort& port_;
   const ServerDirectory& directory_;
-  SlotRouter& slots_;
+  SlotRouter& slot_router_;
   CrashGuard& crashes_;
-  RolloutGuide& rollouts_;
+  RolloutGuide& version_selector_;
   const Clock& clock_;
   const EventLog& log_;
   Metrics& metrics_;
   std::shared_ptr<const RouteTable> table_;
-  std::map<ExchangeId, EarlyRequest> early_;
+  std::map<ExchangeId, EarlyRequest> early_requests_;
   std::unordered_map<ExchangeId, RequestPtr> requests_;
   std::unordered_map<AttemptId, ExchangeId> attempts_;
-  std::map<std::string, RetryWindow> retries_;
-  /// By route and its timeout, which bounds the time that clients have left.
-  std::map<std::pair<std::string, Duration>, ClientAge> ages_;
+  std::map<std::string, RetryWindow> retry_windows_;
+  /// By route and its timeout, which limits the time that clients have left.
+  std::map<std::pair<std::string, Duration>, ClientAge> client_ages_;
   /// By route.
-  std::map<std::string, RouteHistory> history_;
+  std::map<std::string, RouteHistory> route_history_;
   TeamRates rates_;
-  /// How many entries share the bound on retries.
-  size_t entries_;
+  /// Entries that share the bound on retries.
+  size_t sharing_entries_;
   size_t held_body_bytes_ = 0;
   AttemptId last_attempt_ = 0;
   bool refuses_new_ = false;
--- a/lavenderkeel/forward/forward_node.cc
+++ b/lavenderkeel/forward/forward_node.cc
@@ -13,19 +13,19 @@
 
 namespace {
 
-/// The name under which entries ask each other for the configuration.
+/// The name under which entries request the configuration from each other.
 constexpr char kRoutesDocument[] = "routes";
 
-/// A tick that comes this late means that the process stood still. Loaded
-/// machines delay ticks by some hundred milliseconds.
-constexpr Duration kLongestGap = std::chrono::milliseconds(900);
+/// A tick that is this late means that the process was suspended. A loaded
+/// machine delays ticks by some hundred milliseconds.
+constexpr Duration kMaxTickGap = std::chrono::milliseconds(900);
 
-/// Whether the one was here well before the other started. Incarnations are the
-/// calendar time of the start in microseconds; processes that are killed
-/// together start within half a second of each other.
-bool IsOlder(const PeerId& one, const PeerId& other) {
-  constexpr Duration kTogether = std::chrono::seconds(1);
-  return one.incarnation + static_cast<uint64_t>(kTogether.count()) <
+/// Whether `one` started well before `other`. An incarnation is the calendar
+/// time of the start in microseconds; processes that are killed together start
+/// within half a second of each other.
+bool StartedBefore(const PeerId& one, const PeerId& other) {
+  constexpr Duration kMaxJointStartSpread = std::chrono::seconds(1);
+  return one.incarnation + static_cast<uint64_t>(kMaxJointStartSpread.count()) <
          other.incarnation;
 }
 
@@ -39,10 +39,11 @@
   return options;
 }
 
-/// Servers come and go in waves (a start, a release), and a server that leaves
-/// takes requests for two seconds more, so their watch gathers for longer.
-ObjectWatch::Options ForServers(ObjectWatch::Options options,
-                                std::string kind) {
+/// Servers change in groups (a start, a release), and a server that leaves
+/// accepts requests for two more seconds, so their watch gathers changes for
+/// longer.
+ObjectWatch::Options ServerWatchOptions(ObjectWatch::Options options,
+                                        std::string kind) {
   options.gather *= 2;
   return WithKind(std::move(options), std::move(kind));
 }
@@ -73,25 +74,29 @@
                  heartbeat.leaving = leaving_;
                  return heartbeat;
                }),
-      self_(members_.self().id.ToString()),
-      gate_({.placement = options_.placement},
-            directory_,
-            clock,
-            [this](const std::string& asker, const SlotGrant& grant) {
-              OnGrant(asker, grant);
-            }),
-      slots_(WithSelf(options_.slots, self_),
-             directory_,
-             clock,
-             log,
-             {.ask = [this](const std::string& gate,
-                            const SlotAsk& ask) { TakeAsk(gate, ask); },
-              .done =
-                  [this](const std::string& gate,
-                         AttemptId attempt,
-                         const SlotResult& result) {
-                    TakeDone(gate, attempt, result);
-                  }}),
+      self_name_(members_.self().id.ToString()),
+      slot_scheduler_(
+          {.placement = options_.placement},
+          directory_,
+          clock,
+          [this](const std::string& requester, const SlotGrant& grant) {
+            DeliverGrant(requester, grant);
+          }),
+      slot_router_(
+          WithSelf(options_.slots, self_name_),
+          directory_,
+          clock,
+          log,
+          {.ask =
+               [this](const std::string& scheduler, const SlotAsk& ask) {
+                 DeliverSlotRequest(scheduler, ask);
+               },
+           .done =
+               [this](const std::string& scheduler,
+                      AttemptId attempt,
+                      const SlotResult& result) {
+                 DeliverSlotResult(scheduler, attempt, result);
+               }}),
       crashes_(options_.crashes,
                clock,
                log,
@@ -99,20 +104,20 @@
                [this](RequestFingerprint request) {
                  return exchange_.roster().RankFor(request);
                }),
-      guide_({.bounds = options_.exposure}, directory_, clock, log),
+      version_selector_({.bounds = options_.exposure}, directory_, clock, log),
       rollouts_({.progress = {.bounds = options_.exposure}},
-                guide_.versions(),
+                version_selector_.versions(),
                 clock,
                 log,
                 source_.write_rollout),
-      rollout_exchange_(rollouts_, guide_),
+      rollout_exchange_(rollouts_, version_selector_),
       controller_(options_.controller,
                   std::move(codec),
                   port,
                   directory_,
-                  slots_,
+                  slot_router_,
                   crashes_,
-                  guide_,
+                  version_selector_,
                   clock,
                   log,
                   metrics),
@@ -120,9 +125,9 @@
                 members_,
                 outbox_,
                 controller_,
-                gate_,
-                slots_,
-                servers_,
+                slot_scheduler_,
+                slot_router_,
+                server_log_,
                 crashes_,
                 rollout_exchange_,
                 clock),
@@ -131,7 +136,7 @@
                     clock,
                     random_,
                     log),
-      server_watch_(ForServers(options_.watch, source_.server_kind),
+      server_watch_(ServerWatchOptions(options_.watch, source_.server_kind),
                     ServerHooks(),
                     clock,
                     random_,
@@ -141,24 +146,24 @@
                      clock,
                      random_,
                      log),
-      gaps_(kLongestGap) {
+      freeze_detector_(kMaxTickGap) {
   members_.signal_lost().connect([this](const PeerId& peer, Role) {
     log_.Warn("peer_lost", {{"peer", peer.ToString()}});
     peers_without_store_.erase(peer);
     peers_.erase(peer.ToString());
-    slots_.OnGone(peer.ToString());
-    gate_.ForgetAsker(peer.ToString());
+    slot_router_.OnGone(peer.ToString());
+    slot_scheduler_.ForgetAsker(peer.ToString());
     controller_.OnPeerLost(peer.ToString());
     exchange_.OnPeerLost(peer);
-    CountPeers();
+    UpdatePeerCounts();
   });
   members_.signal_leaving().connect([this](const PeerId& peer, Role) {
-    slots_.OnGone(peer.ToString());
+    slot_router_.OnGone(peer.ToString());
     exchange_.OnPeerLeaving(peer);
   });
   members_.signal_up().connect([this](const Member& member) {
     log_.Info("peer_up", {{"peer", member.info.id.ToString()}});
-    if (IsOlder(member.info.id, members_.self().id)) {
+    if (StartedBefore(member.info.id, members_.self().id)) {
       controller_.OnOlderPeer();
     }
     exchange_.OnPeerUp(member);
@@ -175,7 +180,7 @@
   config_watch_.Start();
   server_watch_.Start();
   if (options_.exposure.enabled) {
-    rollout_watch_.set_wait(options_.longest_watch);
+    rollout_watch_.set_wait(options_.max_watch_wait);
     rollout_watch_.Start();
   }
 }
@@ -204,7 +209,7 @@
                 } else {
                   rollouts_.OnRemoved(object.name);
                 }
-                exchange_.Hurry();
+                exchange_.SendStatusSoon();
               },
           .on_outage = [] {},
           .on_return = [] {}};
@@ -227,7 +232,7 @@
     return;
   }
   const EntryExchange::Counts counts = exchange_.Count();
-  guide_.set_entries(counts.known);
+  version_selector_.set_entries(counts.known);
   constexpr size_t kHalf = 2;
   rollouts_.Tick({.decides = rollout_exchange_.decider() == members_.self().id,
                   .heard = counts.heard,
@@ -271,7 +276,7 @@
           .on_change =
               [this](const StoredObject& object) {
                 OnServer(object);
-                gate_.Dispatch();
+                slot_scheduler_.Dispatch();
               },
           .on_outage = [this] { directory_.OnOutage(); },
           .on_return = [this] { directory_.OnReturn(clock_.Now()); }};
@@ -303,8 +308,8 @@
   controller_.OnRouteTable(
       std::make_shared<const RouteTable>(*std::move(decoded.value)));
   config_content_ = content;
-  newer_at_.reset();
-  exchange_.Hurry();
+  newer_config_peer_.reset();
+  exchange_.SendStatusSoon();
 }
 
 std::optional<BackendServer> ForwardNode::ReadServer(
@@ -318,7 +323,7 @@
 }
 
 void ForwardNode::OnServer(const StoredObject& object) {
-  servers_.OnChange(object, clock_.Now());
+  server_log_.OnChange(object, clock_.Now());
   if (object.removed) {
     log_.Info("server_removed",
               {{"server", object.name}, {"revision", object.revision}});
@@ -327,7 +332,7 @@
   }
   const std::optional<BackendServer> server = ReadServer(object);
   if (!server.has_value()) {
-    // Whoever wrote it, it names no server that could be used any more.
+    // Regardless of who wrote it, the object names no server that can be used.
     directory_.Remove(object.name, clock_.Now());
     return;
   }
@@ -352,14 +357,14 @@
   log_.Info("servers_listed", {{"servers", servers.size()},
                                {"revision", server_watch_.revision()}});
   servers_listed_ = true;
-  servers_.OnList(objects);
+  server_log_.OnList(objects);
   directory_.ApplyList(servers, clock_.Now());
-  gate_.Dispatch();
+  slot_scheduler_.Dispatch();
 }
 
 void ForwardNode::OnServerFeed(const ServerFeed& feed) {
   const ObjectDelta delta = FromWire(feed);
-  if (delta.revision <= servers_.revision()) {
+  if (delta.revision <= server_log_.revision()) {
     return;
   }
   server_watch_.OnFed(delta.revision);
@@ -370,21 +375,21 @@
   for (const StoredObject& object : delta.objects) {
     OnServer(object);
   }
-  gate_.Dispatch();
+  slot_scheduler_.Dispatch();
 }
 
-void ForwardNode::FollowCoordinators() {
-  const bool fed = exchange_.fed();
-  if (std::exchange(fed_, fed) != fed) {
-    log_.Info(fed ? "store_through_coordinators" : "store_by_itself",
-              {{"server_change", servers_.revision()},
+void ForwardNode::UpdateStoreReads() {
+  const bool is_fed = exchange_.is_fed();
+  if (std::exchange(is_fed_, is_fed) != is_fed) {
+    log_.Info(is_fed ? "store_through_coordinators" : "store_by_itself",
+              {{"server_change", server_log_.revision()},
                {"config_version", controller_.table_version()}});
   }
-  config_watch_.SetPaused(fed && controller_.table() != nullptr);
-  server_watch_.SetPaused(fed);
-  rollout_watch_.SetPaused(fed && guide_.known());
-  const bool lost = fed && exchange_.feeder_lost_store();
-  if (std::exchange(feeder_lost_store_, lost) == lost) {
+  config_watch_.SetPaused(is_fed && controller_.table() != nullptr);
+  server_watch_.SetPaused(is_fed);
+  rollout_watch_.SetPaused(is_fed && version_selector_.known());
+  const bool lost = is_fed && exchange_.feed_source_lost_store();
+  if (std::exchange(feed_source_lost_store_, lost) == lost) {
     return;
   }
   if (lost) {
@@ -395,24 +400,24 @@
 }
 
 void ForwardNode::Tick() {
-  if (gaps_.Check(clock_.Now())) {
+  if (freeze_detector_.Check(clock_.Now())) {
     OnFreeze();
   }
   members_.Tick();
   config_watch_.Tick();
   server_watch_.Tick();
   rollout_watch_.Tick();
-  CountPeers();
-  FollowCoordinators();
+  UpdatePeerCounts();
+  UpdateStoreReads();
   directory_.Tick(clock_.Now());
-  servers_.Tick(clock_.Now());
+  server_log_.Tick(clock_.Now());
   crashes_.Tick();
   StepRollouts();
-  slots_.Tick();
-  gate_.Tick();
+  slot_router_.Tick();
+  slot_scheduler_.Tick();
   controller_.Tick();
-  PullNewer();
-  exchange_.Tick({.server_change = servers_.revision(),
+  PullNewerConfig();
+  exchange_.Tick({.server_change = server_log_.revision(),
                   .store_lost = server_watch_.lost() || config_watch_.lost(),
                   .rollout_change = rollout_watch_.last_change()});
 }
@@ -431,14 +436,14 @@
   if (std::exchange(leaving_, true)) {
     return;
   }
-  slots_.set_leaving();
+  slot_router_.set_leaving();
   members_.set_leaving();
   members_.AnnounceNow();
 }
 
 bool ForwardNode::ready() const {
   return !leaving_ && servers_listed_ && controller_.table() != nullptr &&
-         guide_.known();
+         version_selector_.known();
 }
 
 bool ForwardNode::OnLinkUp(LinkId link,
@@ -478,7 +483,8 @@
         } else if constexpr (std::is_same_v<T, HaveSlot>) {
           OnHaveSlot(*member, body);
         } else if constexpr (std::is_same_v<T, SlotEnd>) {
-          gate_.Done(member->info.id.ToString(), body.attempt, FromWire(body));
+          slot_scheduler_.Done(member->info.id.ToString(), body.attempt,
+                               FromWire(body));
         } else if constexpr (std::is_same_v<T, ServerFeed>) {
           OnServerFeed(body);
         } else if constexpr (std::is_same_v<T, CrashNews>) {
@@ -486,7 +492,7 @@
         } else if constexpr (std::is_same_v<T, KnownEntries>) {
           exchange_.OnKnownEntries(body);
         } else if constexpr (std::is_same_v<T, ConfigPull>) {
-          OnPull(link);
+          OnConfigPull(link);
         } else if constexpr (std::is_same_v<T, ConfigShards>) {
           for (const std::string& content : body.bodies) {
             OnConfig(content, "peer");
@@ -499,17 +505,17 @@
 void ForwardNode::OnStatus(const Member& member, const ForwardStatus& status) {
   server_watch_.OnToldBy(status.server_change);
   rollout_watch_.OnToldBy(status.rollout_change);
-  NoteStoreLost(member.info.id, status.store_lost);
+  RecordStoreLost(member.info.id, status.store_lost);
   if (status.table_version > controller_.table_version() &&
-      !newer_at_.has_value()) {
-    newer_at_ = member.info.id;
-    newer_version_ = status.table_version;
-    newer_since_ = clock_.Now();
+      !newer_config_peer_.has_value()) {
+    newer_config_peer_ = member.info.id;
+    newer_config_version_ = status.table_version;
+    newer_config_since_ = clock_.Now();
   }
   exchange_.OnStatus(member, status);
 }
 
-void ForwardNode::NoteStoreLost(const PeerId& peer, bool lost) {
+void ForwardNode::RecordStoreLost(const PeerId& peer, bool lost) {
   if (!lost) {
     peers_without_store_.erase(peer);
   } else if (peers_without_store_.insert(peer).second) {
@@ -529,65 +535,71 @@
                                : members_.AnyLinkTo(found->second);
 }
 
-void ForwardNode::TakeAsk(const std::string& gate, const SlotAsk& ask) {
-  if (gate == self_) {
-    gate_.Ask(self_, ask);
+void ForwardNode::DeliverSlotRequest(const std::string& scheduler,
+                                     const SlotAsk& ask) {
+  if (scheduler == self_name_) {
+    slot_scheduler_.Ask(self_name_, ask);
     return;
   }
-  // Without a link the wish waits until the gate counts as silent.
-  if (const std::optional<LinkId> link = LinkTo(gate)) {
+  // Without a link the slot request waits until the scheduler counts as
+  // unresponsive.
+  if (const std::optional<LinkId> link = LinkTo(scheduler)) {
     outbox_.Send(*link, ToWire(ask, clock_.Now()));
   }
 }
 
-void ForwardNode::TakeDone(const std::string& gate,
-                           AttemptId attempt,
-                           const SlotResult& result) {
-  if (gate == self_) {
-    gate_.Done(self_, attempt, result);
+void ForwardNode::DeliverSlotResult(const std::string& scheduler,
+                                    AttemptId attempt,
+                                    const SlotResult& result) {
+  if (scheduler == self_name_) {
+    slot_scheduler_.Done(self_name_, attempt, result);
     return;
   }
-  if (const std::optional<LinkId> link = LinkTo(gate)) {
+  if (const std::optional<LinkId> link = LinkTo(scheduler)) {
     outbox_.Send(*link, ToWire(attempt, result));
   }
 }
 
-void ForwardNode::OnGrant(const std::string& asker, const SlotGrant& grant) {
-  if (asker != self_) {
-    if (const std::optional<LinkId> link = LinkTo(asker)) {
+void ForwardNode::DeliverGrant(const std::string& requester,
+                               const SlotGrant& grant) {
+  if (requester != self_name_) {
+    if (const std::optional<LinkId> link = LinkTo(requester)) {
       outbox_.Send(*link, ToWire(grant));
     }
     return;
   }
-  TakeGrant(self_, grant);
+  AcceptGrant(self_name_, grant);
 }
 
-void ForwardNode::TakeGrant(const std::string& gate, const SlotGrant& grant) {
-  const bool wanted =
-      slots_.OnGrant(gate, grant.attempt) && controller_.OnSlot(gate, grant);
+void ForwardNode::AcceptGrant(const std::string& scheduler,
+                              const SlotGrant& grant) {
+  const bool wanted = slot_router_.OnGrant(scheduler, grant.attempt) &&
+                      controller_.OnSlot(scheduler, grant);
   if (!wanted) {
-    TakeDone(gate, grant.attempt, {});
+    DeliverSlotResult(scheduler, grant.attempt, {});
   }
 }
 
 void ForwardNode::OnWantSlot(const Member& member, const WantSlot& want) {
-  gate_.Ask(member.info.id.ToString(), FromWire(want, clock_.Now()));
+  slot_scheduler_.Ask(member.info.id.ToString(), FromWire(want, clock_.Now()));
 }
 
 void ForwardNode::OnHaveSlot(const Member& member, const HaveSlot& have) {
-  TakeGrant(member.info.id.ToString(), FromWire(have));
+  AcceptGrant(member.info.id.ToString(), FromWire(have));
 }
 
-void ForwardNode::PullNewer() {
-  if (!newer_at_.has_value() ||
-      clock_.Now() - newer_since_ < options_.pull_after) {
+void ForwardNode::PullNewerConfig() {
+  if (!newer_config_peer_.has_value() ||
+      clock_.Now() - newer_config_since_ < options_.config_pull_delay) {
     return;
   }
-  // Its own coordinator if that has it, so that not all ask the same one.
-  const std::optional<LinkId> link = members_.AnyLinkTo(
-      exchange_.HasConfig(newer_version_).value_or(*newer_at_));
-  // Asked again, of whoever tells of it next, unless the answer comes.
-  newer_at_.reset();
+  // The feed source if possible, so that not all ask the same peer.
+  const std::optional<LinkId> link =
+      members_.AnyLinkTo(exchange_.FeedSourceWithConfig(newer_config_version_)
+                             .value_or(*newer_config_peer_));
+  // Unless the answer arrives, the next peer that reports a newer version is
+  // asked.
+  newer_config_peer_.reset();
   if (link.has_value()) {
     ConfigPull pull;
     pull.names.emplace_back(kRoutesDocument);
@@ -595,7 +607,7 @@
   }
 }
 
-void ForwardNode::OnPull(LinkId link) {
+void ForwardNode::OnConfigPull(LinkId link) {
   if (config_content_.empty()) {
     return;
   }
@@ -605,33 +617,34 @@
   outbox_.Send(link, std::move(shards));
 }
 
-void ForwardNode::CountPeers() {
+void ForwardNode::UpdatePeerCounts() {
   const EntryExchange::Counts counts = exchange_.Count();
   controller_.OnPeerCount(counts.known, counts.heard);
   SetWatchWait(
       std::min(counts.heard, exchange_.roster().coordinators().size()));
 }
 
-void ForwardNode::SetWatchWait(size_t heard) {
-  // Failure: each of hundreds of entries renews its watches every two seconds.
-  // Symptom: the store is paid for a call a second and entry that brings
-  // nothing. A change or an outage that one entry sees is known to the others
-  // within a report, so together they need to look no more often than a few
-  // would alone: a fifth of the calls of 26 entries are left.
-  const double share = static_cast<double>(heard) /
-                       static_cast<double>(options_.entries_per_watch);
+void ForwardNode::SetWatchWait(size_t watchers) {
+  // If each of hundreds of entries renews its watches every two seconds, each
+  // makes a call a second to the store that is paid for and returns nothing. A
+  // change or an outage that one entry sees reaches the others within a report,
+  // so together the entries need to renew no more often than a few would alone:
+  // a fifth of the calls of 26 entries are left.
+  const double share = static_cast<double>(watchers) /
+                       static_cast<double>(options_.entries_at_base_wait);
   const Duration wait = std::min(
-      options_.longest_watch, std::chrono::duration_cast<Duration>(
-                                  options_.watch.wait * std::max(1.0, share)));
+      options_.max_watch_wait, std::chrono::duration_cast<Duration>(
+                                   options_.watch.wait * std::max(1.0, share)));
   config_watch_.set_wait(wait);
   server_watch_.set_wait(wait);
-  // Whoever told of changes is gone; what waits may have waited for too long.
-  const bool halved = heard * 2 <= heard_when_confirmed_;
+  // The entries that reported changes are lost; pending calls may have waited
+  // too long.
+  const bool halved = watchers * 2 <= watchers_when_confirmed_;
   if (halved) {
     ConfirmWatches();
   }
-  if (halved || heard > heard_when_confirmed_) {
-    heard_when_confirmed_ = heard;
+  if (halved || watchers > watchers_when_confirmed_) {
+    watchers_when_confirmed_ = watchers;
   }
 }
 
--- a/lavenderkeel/forward/forward_node.h
+++ b/lavenderkeel/forward/forward_node.h
@@ -19,29 +19,29 @@
 
 namespace lavenderkeel {
 
-/// Where the configuration and the list of servers are kept, and how to read
-/// them. Filled in by an adapter for one platform.
+/// Access to the configuration and the list of servers, and their decoding.
+/// Filled in by an adapter for one platform.
 struct ForwardSource {
   std::string config_kind;
-  /// The object of that kind that counts.
+  /// The object with the configuration.
   std::string config_object;
   std::string server_kind;
   std::function<leaf::result<RouteTableContent>(const std::string& content)>
       decode_table;
   std::function<leaf::result<BackendServer>(const StoredObject&)> decode_server;
-  /// Where the operators' orders of rollouts are; empty: there are none.
+  /// Kind of the rollout orders of operators; empty: none.
   std::string rollout_kind = {};
   std::function<leaf::result<RolloutOrder>(const StoredObject&)>
       decode_rollout = {};
   RolloutController::Write write_rollout = {};
-  /// Makes a read; `done` is called later, once.
+  /// Starts a read; `done` is called once, after it returns.
   std::function<void(const ObjectRead&,
                      std::function<void(const ObjectReadResult&)> done)>
       read;
 };
 
-/// One forwarding entry without its sockets: the controller of requests, the
-/// watches on the platform's store, and the links to the other entries.
+/// A forwarding entry without its sockets: the request controller, the watches
+/// on the store of the platform, and the links to the other entries.
 class ForwardNode {
  public:
   struct Options {
@@ -52,19 +52,20 @@
     ExposureBounds exposure;
     MemberTable::Options members = {
         .dial = {.longest = std::chrono::seconds(1)},
-        // Its rate share and its report are reckoned with until then.
+        // Until then the rate share and the report of a lost entry still count.
         .forget_after = std::chrono::seconds(10)};
-    /// Its wait is that of an entry that hears of few others.
+    /// The wait applies while few other entries watch the store.
     ObjectWatch::Options watch;
-    /// So many entries together renew their watches as often as one alone.
-    size_t entries_per_watch = 4;
-    /// Below the shortest history that a store keeps.
-    Duration longest_watch = std::chrono::seconds(12);
+    /// With more entries than this the wait grows, so that together they renew
+    /// their watches no more often.
+    size_t entries_at_base_wait = 4;
+    /// Below the shortest change history that a store keeps.
+    Duration max_watch_wait = std::chrono::seconds(12);
     std::vector<std::string> seeds;
     EntryExchange::Options exchange;
-    /// A version that another entry has and the store has not told us is asked
-    /// for after this time.
-    Duration pull_after = std::chrono::milliseconds(150);
+    /// A newer configuration of another entry is requested from it if the store
+    /// has not sent it within this time.
+    Duration config_pull_delay = std::chrono::milliseconds(150);
   };
 
   ForwardNode(Options options,
@@ -79,9 +80,9 @@
 
   void Start();
   void Tick();
-  /// This process stood still: what it believes may be out of date.
+  /// The process was suspended: its state may be out of date.
   void OnFreeze();
-  /// Not ready from now on; what is here is finished.
+  /// Not ready from now on; accepted requests are finished.
   void Leave();
 
   bool OnLinkUp(LinkId link,
@@ -91,7 +92,7 @@
   void OnDialFailed(const std::string& address);
   void OnMessage(LinkId link, Message message);
 
-  /// New requests can be served here.
+  /// Whether new requests can be served here.
   bool ready() const;
   bool leaving() const { return leaving_; }
   ForwardController& controller() { return controller_; }
@@ -113,31 +114,31 @@
   void StepRollouts();
   void Read(ObjectWatch& watch, uint64_t call, const ObjectRead& read);
   void OnConfig(const std::string& content, const char* from);
-  /// Nothing, and a log line, if it can't be read.
+  /// Nothing, and a warning, if it cannot be decoded.
   std::optional<BackendServer> ReadServer(const StoredObject& object) const;
   void OnServer(const StoredObject& object);
   void OnServerList(const std::vector<StoredObject>& objects);
   void OnServerFeed(const ServerFeed& feed);
-  /// Reads the store only as far as no coordinator tells what is in it.
-  void FollowCoordinators();
+  /// Reads the store only as far as no coordinator sends its contents.
+  void UpdateStoreReads();
 
-  void TakeAsk(const std::string& gate, const SlotAsk& ask);
-  void TakeDone(const std::string& gate,
-                AttemptId attempt,
-                const SlotResult& result);
-  void OnGrant(const std::string& asker, const SlotGrant& grant);
-  /// A slot for a wish of this entry; it goes back if it is not wanted.
-  void TakeGrant(const std::string& gate, const SlotGrant& grant);
+  void DeliverSlotRequest(const std::string& scheduler, const SlotAsk& ask);
+  void DeliverSlotResult(const std::string& scheduler,
+                         AttemptId attempt,
+                         const SlotResult& result);
+  void DeliverGrant(const std::string& requester, const SlotGrant& grant);
+  /// Accepts a slot for this entry, or returns it if it is no longer wanted.
+  void AcceptGrant(const std::string& scheduler, const SlotGrant& grant);
   void OnStatus(const Member& member, const ForwardStatus& status);
   void OnWantSlot(const Member& member, const WantSlot& want);
   void OnHaveSlot(const Member& member, const HaveSlot& have);
   std::optional<LinkId> LinkTo(const std::string& entry) const;
-  void OnPull(LinkId link);
-  void PullNewer();
-  void CountPeers();
-  /// @param heard entries that watch the store as this one does
-  void SetWatchWait(size_t heard);
-  void NoteStoreLost(const PeerId& peer, bool lost);
+  void OnConfigPull(LinkId link);
+  void PullNewerConfig();
+  void UpdatePeerCounts();
+  /// @param watchers entries that watch the store, with this one
+  void SetWatchWait(size_t watchers);
+  void RecordStoreLost(const PeerId& peer, bool lost);
   void ConfirmWatches();
 
   Options options_;
@@ -147,39 +148,39 @@
   std::mt19937_64 random_;
   Outbox outbox_;
   MemberTable members_;
-  /// This entry's name among the gates: its instance and incarnation.
-  std::string self_;
+  /// The name of this entry as a slot scheduler: its instance and incarnation.
+  std::string self_name_;
   ServerDirectory directory_;
-  ServerLog servers_;
-  SlotGate gate_;
-  SlotRouter slots_;
+  ServerLog server_log_;
+  SlotGate slot_scheduler_;
+  SlotRouter slot_router_;
   CrashGuard crashes_;
-  RolloutGuide guide_;
+  RolloutGuide version_selector_;
   RolloutController rollouts_;
   RolloutExchange rollout_exchange_;
   ForwardController controller_;
   EntryExchange exchange_;
   ObjectWatch config_watch_;
   ObjectWatch server_watch_;
-  /// Not started where there are no rollouts.
+  /// Not started if there are no rollouts.
   ObjectWatch rollout_watch_;
-  GapDetector gaps_;
-  /// The text of the configuration in force, for entries that lack it.
+  GapDetector freeze_detector_;
+  /// The text of the configuration in force, sent to entries that lack it.
   std::string config_content_;
   bool servers_listed_ = false;
-  bool fed_ = false;
-  bool feeder_lost_store_ = false;
+  bool is_fed_ = false;
+  bool feed_source_lost_store_ = false;
   bool leaving_ = false;
-  /// A peer that has a newer configuration, and since when we know.
-  std::optional<PeerId> newer_at_;
-  uint64_t newer_version_ = 0;
-  TimePoint newer_since_;
-  /// Those that say that the store does not answer them.
+  /// A peer with a newer configuration, and since when it is known.
+  std::optional<PeerId> newer_config_peer_;
+  uint64_t newer_config_version_ = 0;
+  TimePoint newer_config_since_;
+  /// Peers that report that the store does not answer them.
   std::set<PeerId> peers_without_store_;
-  /// The most entries heard of, this one included, since the watches were last
-  /// confirmed because half of them were gone.
-  size_t heard_when_confirmed_ = 1;
-  /// The latest incarnation heard of, by its name among the gates.
+  /// The most watching entries, this one included, since the watches were last
+  /// confirmed because half of them were lost.
+  size_t watchers_when_confirmed_ = 1;
+  /// Peers by instance and incarnation.
   std::map<std::string, PeerId> peers_;
 };
 
--- a/lavenderkeel/forward/forwarded_request.h
+++ b/lavenderkeel/forward/forwarded_request.h
@@ -18,13 +18,13 @@
 
 namespace lavenderkeel {
 
-/// One request of a client from its arrival to its final answer.
+/// A client request from its arrival to its final answer.
 struct ForwardedRequest {
   enum class State {
-    /// For a slot at a server, or for what an equal request shows; see
+    /// Waits for a slot at a server, or for the result of an equal request, see
     /// CrashGuard.
     kWaiting,
-    /// An attempt is under way.
+    /// Sent to a server.
     kSent,
   };
 
@@ -32,7 +32,7 @@
   RequestHead head;
   std::string body;
   RequestTerms terms;
-  /// The version that was in force on arrival; keeps `route` alive.
+  /// The configuration in force on arrival; keeps `route` alive.
   std::shared_ptr<const RouteTable> table;
   const Route* route = nullptr;
   std::string service;
@@ -40,55 +40,55 @@
   std::string team;
   RequestFingerprint fingerprint = 0;
   int priority = 0;
-  /// The priority is the team's, not the route's.
-  bool ranked_by_team = false;
-  /// Its answer will be much longer than the usual of its route.
+  /// The priority is that of the team, not of the route.
+  bool has_team_priority = false;
+  /// The answer is expected to be much longer than usual for the route.
   bool is_long = false;
   TimePoint arrived;
-  /// When the client first sent it, by estimate: earlier than `arrived` if it
+  /// Estimate of when the client first sent the request: before `arrived` if it
   /// was refused before and came back.
   TimePoint first_sent;
-  /// The final answer is due: the client's or the route's bound.
+  /// Deadline of the final answer, from the client or the route.
   TimePoint due;
 
   State state = State::kWaiting;
   TimePoint waiting_since;
-  /// It waits without having asked for a slot.
+  /// Waits without having asked for a slot.
   bool held = false;
-  /// What spoke against it when it asked.
+  /// Crash suspicion at the time of the slot request.
   CrashStanding standing = CrashStanding::kClear;
 
   AttemptId attempt = 0;
   std::string server;
-  /// What the attempt that was sent last tells of its server's version.
+  /// Rollout data of the attempt that was sent last.
   RolloutGuide::Attempt version_attempt = {};
   TimePoint sent_at;
-  /// When the last byte of the answer came, or the attempt was sent.
-  TimePoint heard_at;
+  /// When the last byte arrived, or the attempt was sent.
+  TimePoint last_received_at;
   std::optional<ResponseHead> answer_head;
   std::string answer_body;
-  /// The server said in the head of its answer that it did not run this.
+  /// The head of the answer states that the server did not run the request.
   bool rejected = false;
-  /// The answer is a stream of events.
+  /// The answer is an event stream.
   bool answer_streams = false;
   EventStreamReader events;
-  /// Events of this attempt, and when the first came.
+  /// Events of this attempt, and the arrival of the first.
   int event_count = 0;
   TimePoint first_event_at;
 
-  /// Servers that were sent it, in order.
+  /// Servers that it was sent to, in order.
   std::vector<std::string> tried;
-  /// Sendings after which it may have run.
+  /// Attempts after which it may have run.
   int runs = 0;
-  /// The client has the head of a streamed answer.
+  /// The client has the head of an incomplete answer.
   bool head_sent = false;
-  /// The last event that the client was sent.
+  /// Id of the last event that was sent to the client.
   std::string last_event_id;
   TimePoint last_event_at;
-  /// Between two events that the client was sent, over all attempts.
+  /// Longest pause between two events sent to the client, over all attempts.
   Duration longest_pause{};
 
-  /// Nothing of it has run, and nothing speaks against it.
+  /// It was never sent, and there is no evidence against it.
   bool fresh() const {
     return tried.empty() && !head_sent && standing == CrashStanding::kClear;
   }
--- a/lavenderkeel/forward/internal/forward_wire.cc
+++ b/lavenderkeel/forward/internal/forward_wire.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// A peer that lies about its lists' lengths is read as far as they agree.
+/// If a peer sends lists of different lengths, the surplus is ignored.
 DrawTotals ToTotals(const std::vector<uint64_t>& teams,
                     const std::vector<double>& drawn) {
   DrawTotals totals;
@@ -35,24 +35,24 @@
   feed.complete = delta.complete;
   feed.revision = delta.revision;
   for (const StoredObject& object : delta.objects) {
-    auto fed = std::make_unique<fbs::FedObjectT>();
-    fed->name = object.name;
-    fed->revision = object.revision;
-    fed->removed = object.removed;
-    fed->content = object.content;
-    feed.objects.push_back(std::move(fed));
+    auto fed_object = std::make_unique<fbs::FedObjectT>();
+    fed_object->name = object.name;
+    fed_object->revision = object.revision;
+    fed_object->removed = object.removed;
+    fed_object->content = object.content;
+    feed.objects.push_back(std::move(fed_object));
   }
   return feed;
 }
 
 ObjectDelta FromWire(const ServerFeed& feed) {
   ObjectDelta delta = {.complete = feed.complete, .revision = feed.revision};
-  for (const auto& fed : feed.objects) {
-    if (fed != nullptr) {
-      delta.objects.push_back({.name = fed->name,
-                               .revision = fed->revision,
-                               .removed = fed->removed,
-                               .content = fed->content});
+  for (const auto& fed_object : feed.objects) {
+    if (fed_object != nullptr) {
+      delta.objects.push_back({.name = fed_object->name,
+                               .revision = fed_object->revision,
+                               .removed = fed_object->removed,
+                               .content = fed_object->content});
     }
   }
   return delta;
@@ -67,7 +67,8 @@
   want.groups = ask.group.count;
   want.priority = ask.priority;
   want.route_priority = ask.route_priority;
-  // Clocks differ between machines, so what crosses is the time that is left.
+  // Clocks differ between machines, so a point in time is sent as the time left
+  // until it.
   want.left_us = (ask.due - now).count();
   want.in_time_us = (ask.in_time_until - now).count();
   want.tried = ask.tried;
@@ -82,7 +83,7 @@
 }
 
 SlotAsk FromWire(const WantSlot& want, TimePoint now) {
-  constexpr auto kWorst = static_cast<uint8_t>(CrashStanding::kBlocked);
+  constexpr auto kLastStanding = static_cast<uint8_t>(CrashStanding::kBlocked);
   return {.attempt = want.attempt,
           .service = want.service,
           .model_server = want.model_server,
@@ -99,7 +100,7 @@
           .version = want.version,
           .canary_version = want.canary_version,
           .standing = static_cast<CrashStanding>(
-              std::min(want.crash_standing, kWorst))};
+              std::min(want.crash_standing, kLastStanding))};
 }
 
 HaveSlot ToWire(const SlotGrant& grant) {
@@ -131,11 +132,12 @@
 }
 
 SlotResult FromWire(const SlotEnd& end) {
-  // A kind that a newer entry knows says nothing of the server here.
-  constexpr auto kLast = static_cast<uint8_t>(SlotResult::Kind::kUnreachable);
+  // A kind known only to newer entries is no evidence about the server.
+  constexpr auto kLastKind =
+      static_cast<uint8_t>(SlotResult::Kind::kUnreachable);
   return {
-      .kind = end.kind <= kLast ? static_cast<SlotResult::Kind>(end.kind)
-                                : SlotResult::Kind::kUnused,
+      .kind = end.kind <= kLastKind ? static_cast<SlotResult::Kind>(end.kind)
+                                    : SlotResult::Kind::kUnused,
       .pace_ms = end.pace_ms < 0 ? std::nullopt : std::optional(end.pace_ms),
       .read = end.read_ms < 0
                   ? std::nullopt
@@ -144,7 +146,7 @@
 }
 
 ForwardStatus ToWire(const ForwardReport& report,
-                     const std::vector<GateReport>& gates) {
+                     const std::vector<GateReport>& group_reports) {
   ForwardStatus status;
   status.table_version = report.table_version;
   for (const ServerCount& count : report.in_flight) {
@@ -152,29 +154,30 @@
     status.in_flight.push_back(static_cast<uint32_t>(count.in_flight));
   }
   PutTotals(report.team_totals, status.teams, status.drawn);
-  for (const GateReport& gate : gates) {
-    auto told = std::make_unique<GateStatus>();
-    told->service = gate.service_hash;
-    told->group = gate.group.index;
-    told->groups = gate.group.count;
-    told->free = gate.free;
-    told->waiting = static_cast<uint32_t>(gate.waiting);
-    status.gates.push_back(std::move(told));
+  for (const GateReport& group_report : group_reports) {
+    auto gate_status = std::make_unique<GateStatus>();
+    gate_status->service = group_report.service_hash;
+    gate_status->group = group_report.group.index;
+    gate_status->groups = group_report.group.count;
+    gate_status->free = group_report.free;
+    gate_status->waiting = static_cast<uint32_t>(group_report.waiting);
+    status.gates.push_back(std::move(gate_status));
   }
   return status;
 }
 
-std::vector<GateReport> GatesFromWire(const ForwardStatus& status) {
-  std::vector<GateReport> gates;
-  for (const auto& told : status.gates) {
-    if (told != nullptr) {
-      gates.push_back({.service_hash = told->service,
-                       .group = {.index = told->group, .count = told->groups},
-                       .free = told->free,
-                       .waiting = static_cast<int>(told->waiting)});
+std::vector<GateReport> GroupReportsFromWire(const ForwardStatus& status) {
+  std::vector<GateReport> group_reports;
+  for (const auto& gate_status : status.gates) {
+    if (gate_status != nullptr) {
+      group_reports.push_back(
+          {.service_hash = gate_status->service,
+           .group = {.index = gate_status->group, .count = gate_status->groups},
+           .free = gate_status->free,
+           .waiting = static_cast<int>(gate_status->waiting)});
     }
   }
-  return gates;
+  return group_reports;
 }
 
 void PutRelayed(const DrawTotals& relayed, ForwardStatus& status) {
--- a/lavenderkeel/forward/internal/forward_wire.h
+++ b/lavenderkeel/forward/internal/forward_wire.h
@@ -10,16 +10,16 @@
 #include "lavenderkeel/forward/slot_router.h"
 #include "lavenderkeel/wire.h"
 
-// Between what entries tell each other about forwarding and its form on the
-// wire. Clocks differ between machines, so times cross as the time that is
-// left.
+// Conversions between the forwarding types and the messages that entries
+// exchange. Clocks differ between machines, so a point in time is sent as the
+// time left until it.
 namespace lavenderkeel::internal {
 
 ForwardStatus ToWire(const ForwardReport& report,
-                     const std::vector<GateReport>& gates);
+                     const std::vector<GateReport>& group_reports);
 ForwardReport FromWire(const ForwardStatus& status);
-std::vector<GateReport> GatesFromWire(const ForwardStatus& status);
-/// What teams drew at the entries that the sender passes on.
+std::vector<GateReport> GroupReportsFromWire(const ForwardStatus& status);
+/// Adds the rate usage that the sender relays for other entries.
 void PutRelayed(const DrawTotals& relayed, ForwardStatus& status);
 DrawTotals RelayedFromWire(const ForwardStatus& status);
 
--- a/lavenderkeel/forward/request_terms.h
+++ b/lavenderkeel/forward/request_terms.h
@@ -11,42 +11,43 @@
 
 namespace lavenderkeel {
 
-/// What the head of a client's request says, in this project's words.
+/// Contents of the head of a client's request, independent of the wire format.
 struct RequestTerms {
-  /// Names one attempt of a client; echoed in every answer to it.
+  /// Identifies one attempt of a client; echoed in every answer to it.
   std::string request_id;
   std::optional<std::string> api_key;
   /// How long the client will wait from now.
   std::optional<Duration> time_left;
-  /// Tokens of the prompt and the most that may be generated; zero: unknown.
+  /// Tokens of the prompt, and the maximum number of tokens to generate; zero:
+  /// unknown.
   uint64_t prompt_tokens = 0;
   uint64_t output_tokens = 0;
-  /// Output tokens that the client expects; zero: it does not say.
+  /// Output tokens that the client expects; zero: not stated.
   uint64_t expected_output_tokens = 0;
-  /// The client goes on with a stream behind this event.
+  /// The client resumes a stream after this event.
   std::string last_event_id;
 
   friend bool operator==(const RequestTerms&, const RequestTerms&) = default;
 };
 
-/// What the system itself tells a backend server with a request.
+/// Fields that the system adds to a request to a backend server.
 struct ServerCallTerms {
   std::string server_id;
   /// Empty for a request without a team.
   std::string team;
   Duration time_left{};
-  /// The stream goes on behind this event; empty: from the start.
+  /// The stream resumes after this event; empty: from the start.
   std::string last_event_id;
 
   friend bool operator==(const ServerCallTerms&,
                          const ServerCallTerms&) = default;
 };
 
-/// What the head of a server's answer says, in this project's words.
+/// Contents of the head of a server's answer, independent of the wire format.
 struct AnswerTerms {
-  /// The request that it answers; empty if it does not say.
+  /// The request that is answered; empty: not stated.
   std::string request_id;
-  /// The server vouches for the answer.
+  /// The answer carries the seal of the server.
   bool sealed = false;
   /// The server states that it did not run the request and never will.
   bool not_run = false;
@@ -54,14 +55,14 @@
   friend bool operator==(const AnswerTerms&, const AnswerTerms&) = default;
 };
 
-/// Translates between heads on the wire and terms, for one wire format.
+/// Translates between message heads and these structures, for one wire format.
 struct ForwardCodec {
-  /// Nothing if a field that has to be readable is not.
+  /// Returns nothing if a required field cannot be parsed.
   std::function<std::optional<RequestTerms>(const RequestHead&)> read_request;
   std::function<RequestHead(const RequestHead&, const ServerCallTerms&)>
       write_request;
   std::function<AnswerTerms(const ResponseHead&)> read_answer;
-  /// Fields of an answer that this entry makes itself.
+  /// Header fields of an answer that this entry generates itself.
   std::function<HttpFields(const std::string& request_id)> own_answer_fields;
 };
 
--- a/lavenderkeel/forward/request_timing.cc
+++ b/lavenderkeel/forward/request_timing.cc
@@ -4,35 +4,36 @@
 
 namespace lavenderkeel {
 
-TimePoint RequestTiming::WaitsUntil(const ForwardedRequest& request) const {
-  const double patience = Patience(*request.route);
+TimePoint RequestTiming::SlotWaitEnd(const ForwardedRequest& request) const {
+  const double patience = PatienceSeconds(*request.route);
   if (request.head_sent) {
-    // Failure: a server falls silent in a burst, and the stream is taken away
-    // from it to be resumed. Symptom: the line is long, no slot comes for 0.8 s
-    // and the answer is cut, though its client would have waited on.
+    // A stream whose server became silent in a burst is resumed at another
+    // server. The queue may be so long that no slot is free for 0.8 s; with the
+    // shorter wait below, the answer would be cut although the client would
+    // wait longer.
     return std::min(request.due, request.last_event_at + FromSeconds(patience));
   }
-  const double whole = ToSeconds(request.due - request.arrived);
+  const double total = ToSeconds(request.due - request.arrived);
   const double wait = std::min(patience * options_.wait_per_patience,
-                               whole * options_.wait_per_time_left);
+                               total * options_.wait_per_time_left);
   return std::min(request.due, request.arrived + FromSeconds(wait));
 }
 
-double RequestTiming::Patience(const Route& route) const {
+double RequestTiming::PatienceSeconds(const Route& route) const {
   return std::max(
       {ToSeconds(options_.client_patience),
        ToSeconds(route.latency_target) * options_.client_patience_per_target,
        ToSeconds(route.event_gap_target) * options_.client_patience_per_gap});
 }
 
-Duration RequestTiming::ComeBackAfter(const ForwardedRequest& request) const {
-  const Duration left = request.due - WaitsUntil(request);
+Duration RequestTiming::RetryAfter(const ForwardedRequest& request) const {
+  const Duration left = request.due - SlotWaitEnd(request);
   return std::min(
-      options_.longest_come_back,
-      FromSeconds(ToSeconds(left) * options_.come_back_per_time_left));
+      options_.max_retry_after,
+      FromSeconds(ToSeconds(left) * options_.retry_after_per_time_left));
 }
 
-TimePoint RequestTiming::InTimeUntil(
+TimePoint RequestTiming::LatestStartInTime(
     const ForwardedRequest& request,
     std::optional<Duration> answer_time) const {
   const Route& route = *request.route;
@@ -40,12 +41,12 @@
     return request.due;
   }
   const Duration server_time = request.model_server
-                                   ? PromptTime(request)
+                                   ? PromptReadTime(request)
                                    : answer_time.value_or(Duration::zero());
   return request.first_sent + route.latency_target - server_time;
 }
 
-Duration RequestTiming::PromptTime(const ForwardedRequest& request) const {
+Duration RequestTiming::PromptReadTime(const ForwardedRequest& request) const {
   if (!request.model_server) {
     return Duration::zero();
   }
@@ -53,18 +54,18 @@
                           options_.slow_prompt_tokens_per_ms);
 }
 
-Duration RequestTiming::LongestSilence(const ForwardedRequest& request) const {
+Duration RequestTiming::MaxSilence(const ForwardedRequest& request) const {
   const Route& route = *request.route;
-  Duration longest;
+  Duration max_silence;
   if (request.streams() && request.event_count > 0) {
-    longest = std::chrono::duration_cast<Duration>(route.event_gap_target *
-                                                   options_.silence_per_gap);
+    max_silence = std::chrono::duration_cast<Duration>(
+        route.event_gap_target * options_.silence_per_gap);
   } else {
-    longest = std::chrono::duration_cast<Duration>(route.latency_target *
-                                                   options_.silence_per_target);
-    longest += PromptTime(request);
+    max_silence = std::chrono::duration_cast<Duration>(
+        route.latency_target * options_.silence_per_target);
+    max_silence += PromptReadTime(request);
   }
-  return std::max(longest, options_.least_silence);
+  return std::max(max_silence, options_.min_silence);
 }
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/forward/request_timing.h
+++ b/lavenderkeel/forward/request_timing.h
@@ -8,70 +8,73 @@
 
 namespace lavenderkeel {
 
-/// How long a request waits for a slot, until when it can be in time, and how
-/// long its server may be silent. Pure: the request and the options decide.
+/// Time limits of a request: its wait for a slot, the latest start that is in
+/// time, and the silence of its server. They depend only on the request and the
+/// options.
 class RequestTiming {
  public:
   struct Options {
-    /// A client leaves when nothing came for the longest of these three. They
-    /// are what the users' clients do.
+    /// A client leaves if nothing arrives for the longest of these three times.
+    /// They describe the clients of the users.
     Duration client_patience = std::chrono::seconds(2);
     double client_patience_per_target = 4;
     double client_patience_per_gap = 8;
-    /// A request waits for a slot this part of its client's patience and of the
-    /// time until its answer is due, then is refused; the rest is for the
-    /// server. Most late answers are still worth a third to the client.
+    /// A request waits for a slot for the smaller of these fractions of the
+    /// client's patience and of the time until the answer is due, then is
+    /// refused; the rest is for the server. Most late answers are still worth a
+    /// third to the client.
     double wait_per_patience = 0.7;
     double wait_per_time_left = 0.4;
-    /// Who waited in vain comes back after this part of the time it has left.
-    /// Load it answers: a burst of some seconds. Clients come back once, and
-    /// whoever came back after 0.3 s waited and was refused again; later there
-    /// is room. Clients wait for a third of their time at most. Refusals of the
-    /// least urgent rank fell by a tenth, see docs/POLICY.md.
-    double come_back_per_time_left = 0.3;
-    /// Bursts last no longer.
-    Duration longest_come_back = std::chrono::seconds(4);
-    /// A repeatable request is sent anew if the server stays silent for this
-    /// multiple of the target. Three times the target is past the slowest of a
-    /// hundred sound answers.
+    /// A client that got no slot is to come back after this fraction of its
+    /// time left. In a burst of some seconds, a client that came back after 0.3
+    /// s waited and was refused again, and clients come back only once; later
+    /// there is capacity. Clients wait for a third of their time at most. The
+    /// least urgent rank has a tenth fewer refusals with it, see
+    /// docs/POLICY.md.
+    double retry_after_per_time_left = 0.3;
+    /// Bursts are no longer.
+    Duration max_retry_after = std::chrono::seconds(4);
+    /// A repeatable request is sent again if the server is silent for this
+    /// multiple of the latency target. Three times the target exceeds the
+    /// slowest of a hundred answers of healthy servers.
     double silence_per_target = 3.0;
-    /// A stream is resumed elsewhere if it pauses for this multiple of the
-    /// gap that clients find fluent.
+    /// A stream is resumed at another server if it pauses for this multiple of
+    /// the event gap target.
     double silence_per_gap = 3.0;
-    /// The shortest silence that counts, for targets that are very tight.
-    Duration least_silence = std::chrono::milliseconds(300);
-    /// Prompt tokens that a slow model server reads in a millisecond; a long
-    /// prompt is allowed its time before a server counts as silent.
+    /// Lower bound of the permitted silence, for very tight targets.
+    Duration min_silence = std::chrono::milliseconds(300);
+    /// Prompt tokens per millisecond that a slow model server reads. The
+    /// permitted silence is longer by the time for the prompt.
     double slow_prompt_tokens_per_ms = 15;
   };
 
   explicit RequestTiming(const Options& options) : options_(options) {}
 
-  /// When a wait for a slot ends without one.
-  TimePoint WaitsUntil(const ForwardedRequest& request) const;
-  /// A start at a server after this is late for the client.
+  /// When the wait for a slot ends without one.
+  TimePoint SlotWaitEnd(const ForwardedRequest& request) const;
+  /// The latest start at a server with which the answer is in time for the
+  /// client.
   ///
-  /// Load it answers: a line at a plain service that never empties, in which
-  /// each request is granted its place just before it would be late. With no
-  /// time, or the mean time, left for the server half of the answers came just
-  /// too late.
-  /// @param answer_time what plain servers take, at the long end. A model
-  ///     server's time is that for the prompt: with one time for long and short
-  ///     prompts a long one waited too long for a server that it suits, and
-  ///     0.04 of all worth was lost on quiet days
-  TimePoint InTimeUntil(const ForwardedRequest& request,
-                        std::optional<Duration> answer_time) const;
-  /// When a client that is refused at the end of its wait is to come back: of
-  /// what it has left then, and never past the longest pause.
-  Duration ComeBackAfter(const ForwardedRequest& request) const;
-  /// After such a silence the server is given up.
-  Duration LongestSilence(const ForwardedRequest& request) const;
+  /// In a queue of a plain service that never empties, each request is granted
+  /// its slot just before it would be late. If no time, or the mean time, is
+  /// left for the server, half of the answers are just too late.
+  /// @param answer_time a high quantile of the answer times of plain servers.
+  ///     For a model server the time for the prompt counts instead: with the
+  ///     same time for long and short prompts, a long prompt waits too long for
+  ///     a suitable server, which costs 0.04 of the total value on quiet days
+  TimePoint LatestStartInTime(const ForwardedRequest& request,
+                              std::optional<Duration> answer_time) const;
+  /// Retry-After of a request that is refused at the end of its wait: a
+  /// fraction of the time that is left then, up to the maximum.
+  Duration RetryAfter(const ForwardedRequest& request) const;
+  /// After this silence the attempt is abandoned.
+  Duration MaxSilence(const ForwardedRequest& request) const;
 
  private:
-  /// How long a client takes a pause before it leaves, in seconds.
-  double Patience(const Route& route) const;
-  /// What a slow model server needs to read the prompt.
-  Duration PromptTime(const ForwardedRequest& request) const;
+  /// How long a client tolerates a pause before it leaves, in seconds.
+  double PatienceSeconds(const Route& route) const;
+  /// The time that a slow model server needs to read the prompt.
+  Duration PromptReadTime(const ForwardedRequest& request) const;
 
   Options options_;
 };
--- a/lavenderkeel/forward/rollout_exchange.cc
+++ b/lavenderkeel/forward/rollout_exchange.cc
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// The key under which the entry that decides wins the rendezvous.
+/// Rendezvous key of the choice of the entry that decides.
 constexpr char kDeciderKey[] = "rollouts";
 
-/// Takes out what is the same as in the former.
+/// Removes the counts that equal the former ones.
 template <typename Counts>
-void EraseSame(Counts& counts, const Counts& former) {
+void EraseUnchanged(Counts& counts, const Counts& former) {
   std::erase_if(counts, [&former](const auto& item) {
     const auto found = former.find(item.first);
     return found != former.end() && found->second == item.second;
@@ -23,16 +23,16 @@
 }  // namespace
 
 void RolloutExchange::PutCounts(const PeerId& self,
-                                bool whole,
+                                bool include_unchanged,
                                 ForwardStatus& status) {
-  for (RolloutCounts& counts : guide_.Report()) {
-    RolloutCounts& former = own_told_[counts.order];
-    const RolloutCounts all = counts;
-    if (!whole) {
-      EraseSame(counts.canary, former.canary);
-      EraseSame(counts.baseline, former.baseline);
+  for (RolloutCounts& counts : version_selector_.Report()) {
+    RolloutCounts& former = last_sent_counts_[counts.order];
+    const RolloutCounts current = counts;
+    if (!include_unchanged) {
+      EraseUnchanged(counts.canary, former.canary);
+      EraseUnchanged(counts.baseline, former.baseline);
     }
-    former = all;
+    former = current;
     rollouts_.OnCounts(self.ToString(), counts);
     status.rollout_counts.push_back(ToWire(counts));
   }
@@ -49,38 +49,39 @@
 
 void RolloutExchange::OnStatus(const PeerId& peer,
                                const ForwardStatus& status) {
-  for (const auto& told : status.rollout_counts) {
-    if (told != nullptr) {
-      rollouts_.OnCounts(peer.ToString(), FromWire(*told));
+  for (const auto& received : status.rollout_counts) {
+    if (received != nullptr) {
+      rollouts_.OnCounts(peer.ToString(), FromWire(*received));
     }
   }
   if (!status.plans_known) {
-    told_.erase(peer);
+    coordinator_plans_.erase(peer);
     return;
   }
-  std::vector<RolloutPlan>& plans = told_[peer];
+  std::vector<RolloutPlan>& plans = coordinator_plans_[peer];
   plans.clear();
-  for (const auto& told : status.plans) {
-    if (told != nullptr) {
-      plans.push_back(FromWire(*told));
+  for (const auto& received : status.plans) {
+    if (received != nullptr) {
+      plans.push_back(FromWire(*received));
     }
   }
 }
 
-void RolloutExchange::Follow(const PeerId& self,
-                             bool coordinates,
-                             const std::function<bool(const PeerId&)>& is_up) {
+void RolloutExchange::ChooseDecider(
+    const PeerId& self,
+    bool coordinates,
+    const std::function<bool(const PeerId&)>& is_up) {
   const uint64_t key = HashBytes(kDeciderKey);
   decider_.reset();
-  uint64_t best = 0;
+  uint64_t best_weight = 0;
   const auto consider = [&](const PeerId& peer) {
     const uint64_t weight = RendezvousWeight(key, peer.instance);
-    if (!decider_.has_value() || weight > best) {
+    if (!decider_.has_value() || weight > best_weight) {
       decider_ = peer;
-      best = weight;
+      best_weight = weight;
     }
   };
-  for (const auto& [peer, plans] : told_) {
+  for (const auto& [peer, plans] : coordinator_plans_) {
     if (is_up(peer)) {
       consider(peer);
     }
@@ -89,7 +90,9 @@
     consider(self);
   }
   if (decider_.has_value()) {
-    guide_.OnPlans(*decider_ == self ? rollouts_.Plans() : told_.at(*decider_));
+    version_selector_.OnPlans(*decider_ == self
+                                  ? rollouts_.Plans()
+                                  : coordinator_plans_.at(*decider_));
   }
 }
 
--- a/lavenderkeel/forward/rollout_exchange.h
+++ b/lavenderkeel/forward/rollout_exchange.h
@@ -13,37 +13,39 @@
 
 namespace lavenderkeel {
 
-/// What entries tell each other of rollouts: all what they saw, coordinators
-/// also what is to be done. Of the coordinators one decides, the same for all
-/// that hear of the same ones.
+/// Exchange of rollout state: all entries send counts, coordinators also plans.
+/// One coordinator decides, the same for all entries that receive reports from
+/// the same coordinators.
 class RolloutExchange {
  public:
-  RolloutExchange(RolloutController& rollouts, RolloutGuide& guide)
-      : rollouts_(rollouts), guide_(guide) {}
+  RolloutExchange(RolloutController& rollouts, RolloutGuide& version_selector)
+      : rollouts_(rollouts), version_selector_(version_selector) {}
 
-  /// @param whole also what did not change since the last round
-  void PutCounts(const PeerId& self, bool whole, ForwardStatus& status);
+  /// @param include_unchanged also counts unchanged since the last report
+  void PutCounts(const PeerId& self,
+                 bool include_unchanged,
+                 ForwardStatus& status);
   void PutPlans(uint64_t last_change, ForwardStatus& status) const;
   void OnStatus(const PeerId& peer, const ForwardStatus& status);
-  void OnPeerLost(const PeerId& peer) { told_.erase(peer); }
-
-  /// Chooses the entry that decides and takes its plans.
-  /// @param coordinates this entry may decide
-  /// @param is_up whether a coordinator is heard of
-  void Follow(const PeerId& self,
-              bool coordinates,
-              const std::function<bool(const PeerId&)>& is_up);
+  void OnPeerLost(const PeerId& peer) { coordinator_plans_.erase(peer); }
+
+  /// Chooses the entry that decides and applies its plans.
+  /// @param coordinates whether this entry may decide
+  /// @param is_up whether reports of a coordinator arrive
+  void ChooseDecider(const PeerId& self,
+                     bool coordinates,
+                     const std::function<bool(const PeerId&)>& is_up);
   /// None while no coordinator is known to have read the orders.
   const std::optional<PeerId>& decider() const { return decider_; }
 
  private:
   RolloutController& rollouts_;
-  RolloutGuide& guide_;
+  RolloutGuide& version_selector_;
   /// Plans of the coordinators that have read the orders.
-  std::map<PeerId, std::vector<RolloutPlan>> told_;
+  std::map<PeerId, std::vector<RolloutPlan>> coordinator_plans_;
   std::optional<PeerId> decider_;
-  /// Own counts as they were told last, by order.
-  std::map<uint64_t, RolloutCounts> own_told_;
+  /// By order.
+  std::map<uint64_t, RolloutCounts> last_sent_counts_;
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/forward/route_table.cc
+++ b/lavenderkeel/forward/route_table.cc
@@ -12,7 +12,7 @@
 namespace {
 
 std::string LowerCaseHost(std::string_view host) {
-  // An IPv6 literal keeps its colons; only what follows the bracket is a port.
+  // A colon inside the brackets of an IPv6 literal does not start a port.
   const size_t bracket = host.rfind(']');
   const size_t colon = host.rfind(':');
   const bool has_port = colon != std::string_view::npos &&
--- a/lavenderkeel/forward/route_table.h
+++ b/lavenderkeel/forward/route_table.h
@@ -13,7 +13,7 @@
 
 namespace lavenderkeel {
 
-/// A service that takes a share of a route's requests.
+/// A service that receives a share of the requests of a route.
 struct WeightedService {
   std::string service;
   double weight = 1;
@@ -22,33 +22,34 @@
                          const WeightedService&) = default;
 };
 
-/// Requests of one host below one path prefix, and how they are treated.
+/// Requests to one host below one path prefix, and their treatment.
 struct Route {
   std::string name;
   std::string host;
   /// Begins and ends with a slash.
   std::string path_prefix;
   std::vector<WeightedService> services;
-  /// The answer is a stream of events.
+  /// The answer is an event stream.
   bool streaming = false;
-  /// A second run does no harm.
+  /// More than one run does no harm.
   bool idempotent = false;
-  /// A stream may go on at another server behind the last event received.
+  /// A stream may be resumed at another server after the last event received.
   bool resumable = false;
   /// No API key is needed.
   bool is_public = false;
   /// The final answer is due this long after arrival; zero: no bound.
   Duration timeout{};
-  /// An answer (of a stream: its first event) within this time counts in full.
+  /// An answer, or the first event of a stream, within this time has full
+  /// value.
   Duration latency_target{};
-  /// The longest pause between two events that a client takes for fluent.
+  /// The longest pause between two events that clients perceive as fluent.
   Duration event_gap_target{};
-  /// Rank of urgency, 0 first.
+  /// 0 is the most urgent.
   int priority = 0;
   /// Servers that may run one request; at least 1.
   int max_attempts = 1;
 
-  /// True if a request that may have run can be sent again.
+  /// Whether a request that may have run can be sent again.
   bool may_repeat() const { return idempotent || (streaming && resumable); }
 
   friend bool operator==(const Route&, const Route&) = default;
@@ -56,38 +57,38 @@
 
 struct Service {
   std::string name;
-  /// Model servers run requests in batches; zero for a plain service.
+  /// Requests that a model server runs in one batch; zero for a plain service.
   int batch_slots = 0;
 
   friend bool operator==(const Service&, const Service&) = default;
 };
 
-/// A team's bound over all entries together.
+/// Rate limit of a team over all entries together.
 struct TeamRate {
-  /// Units a second; zero: no bound.
+  /// Units per second; zero: no limit.
   double per_second = 0;
-  /// Units above the rate that may come at once.
+  /// Units that may be used at once above the rate.
   double burst = 0;
-  /// Counted in tokens, else in requests.
+  /// The unit is a token, else a request.
   bool in_tokens = false;
-  /// What a request without a token count counts as.
+  /// Units used by a request without a token count.
   double tokens_if_unknown = 1;
 
   friend bool operator==(const TeamRate&, const TeamRate&) = default;
 };
 
-/// A team as the forwarding path knows it.
+/// Settings of a team for forwarding.
 struct TeamTerms {
   std::string name;
   std::vector<std::string> api_keys;
-  /// Goes before the priority of a route.
+  /// Overrides the priority of the route.
   std::optional<int> priority;
   TeamRate rate;
 
   friend bool operator==(const TeamTerms&, const TeamTerms&) = default;
 };
 
-/// Bounds on what a client may send.
+/// Limits on what a client may send.
 struct ClientLimits {
   uint64_t head_bytes = uint64_t{16} << 10;
   uint64_t body_bytes = uint64_t{4} << 20;
@@ -99,7 +100,6 @@
   friend bool operator==(const ClientLimits&, const ClientLimits&) = default;
 };
 
-/// What a RouteTable is made from.
 struct RouteTableContent {
   uint64_t version = 0;
   std::vector<Route> routes;
@@ -111,8 +111,8 @@
                          const RouteTableContent&) = default;
 };
 
-/// One version of the configuration of forwarding. Immutable; requests keep
-/// the version that was in force when they came.
+/// One version of the forwarding configuration. Immutable; each request keeps
+/// the version that was in force when it arrived.
 class RouteTable {
  public:
   explicit RouteTable(RouteTableContent content);
@@ -124,7 +124,8 @@
   const ClientLimits& limits() const { return content_.limits; }
   bool has_teams() const { return !content_.teams.empty(); }
 
-  /// The route of the host with the longest prefix that begins the path.
+  /// Finds the route of the host whose prefix is the longest that the path
+  /// begins with.
   /// @param host the Host field; a port is ignored
   /// @param target path and query
   const Route* FindRoute(std::string_view host, std::string_view target) const;
@@ -132,7 +133,7 @@
   const TeamTerms* FindTeam(const std::string& name) const;
   const Service* FindService(const std::string& name) const;
 
-  /// The rank of the most urgent routes; 0 without routes.
+  /// The priority of the most urgent routes; 0 without routes.
   int first_priority() const { return first_priority_; }
 
   /// The service for a request; the same for all its attempts.
--- a/lavenderkeel/forward/server_log.cc
+++ b/lavenderkeel/forward/server_log.cc
@@ -5,43 +5,44 @@
 namespace lavenderkeel {
 
 void ServerLog::OnList(const std::vector<StoredObject>& objects) {
-  entries_.clear();
+  objects_.clear();
   for (const StoredObject& object : objects) {
     revision_ = std::max(revision_, object.revision);
-    entries_[object.name] = {.object = object, .removed_at = {}};
+    objects_[object.name] = {.object = object, .removed_at = {}};
   }
-  // What was removed before the list was made does not show in it.
-  removals_since_ = revision_;
+  // Removals before the list was read do not show in it.
+  removals_known_after_ = revision_;
 }
 
 void ServerLog::OnChange(const StoredObject& object, TimePoint now) {
   revision_ = std::max(revision_, object.revision);
-  entries_[object.name] = {.object = object, .removed_at = now};
+  objects_[object.name] = {.object = object, .removed_at = now};
 }
 
 void ServerLog::Tick(TimePoint now) {
-  std::erase_if(entries_, [&](const auto& item) {
-    const Entry& entry = item.second;
-    const bool forgotten =
-        entry.object.removed && now - entry.removed_at > options_.keep_removed;
-    if (forgotten) {
-      removals_since_ = std::max(removals_since_, entry.object.revision);
+  std::erase_if(objects_, [&](const auto& item) {
+    const LoggedObject& logged = item.second;
+    const bool expired = logged.object.removed &&
+                         now - logged.removed_at > options_.removal_retention;
+    if (expired) {
+      removals_known_after_ =
+          std::max(removals_known_after_, logged.object.revision);
     }
-    return forgotten;
+    return expired;
   });
 }
 
-ObjectDelta ServerLog::Since(uint64_t revision) const {
-  const bool complete = revision < removals_since_ || revision == 0;
+ObjectDelta ServerLog::ChangesSince(uint64_t revision) const {
+  const bool complete = revision < removals_known_after_ || revision == 0;
   ObjectDelta delta = {.complete = complete, .revision = revision_};
-  for (const auto& [name, entry] : entries_) {
+  for (const auto& [name, logged] : objects_) {
     const bool wanted =
-        complete ? !entry.object.removed : entry.object.revision > revision;
+        complete ? !logged.object.removed : logged.object.revision > revision;
     if (wanted) {
-      delta.objects.push_back(entry.object);
+      delta.objects.push_back(logged.object);
     }
   }
-  // Applied in the order in which they happened.
+  // Receivers apply changes in order of revision.
   std::ranges::sort(delta.objects, {}, &StoredObject::revision);
   return delta;
 }
--- a/lavenderkeel/forward/server_log.h
+++ b/lavenderkeel/forward/server_log.h
@@ -11,29 +11,29 @@
 
 namespace lavenderkeel {
 
-/// Objects as the store has them: all, or those that changed after a revision.
+/// Objects of the store: all of them, or those that changed after a revision.
 struct ObjectDelta {
   bool complete = false;
-  /// Of the latest change that it shows.
+  /// Of the latest change that is included.
   uint64_t revision = 0;
   std::vector<StoredObject> objects;
 
   friend bool operator==(const ObjectDelta&, const ObjectDelta&) = default;
 };
 
-/// The list of servers as this entry read it from the store, kept so that it
-/// can be passed on.
+/// The list of servers as read from the store, kept so that it can be sent to
+/// other entries.
 ///
-/// Load it answers: a release of 75 servers one after the other, each change of
-/// which every entry read from the store: 8,600 calls a day with 103 entries,
-/// 0.05 of all that their requests are worth. Coordinators read, and tell the
-/// others.
+/// In a release of 75 servers one after the other, 103 entries that each read
+/// every change from the store make 8,600 store calls a day, which costs 0.05
+/// of the value of all requests. Therefore only coordinators read the store;
+/// they send the changes to the other entries.
 class ServerLog {
  public:
   struct Options {
-    /// How long a removal is remembered. Entries report ten times a second; one
-    /// that was cut off for longer gets the whole list.
-    Duration keep_removed = std::chrono::seconds(20);
+    /// How long a removal is kept. Entries report ten times per second; an
+    /// entry that was disconnected for longer receives the complete list.
+    Duration removal_retention = std::chrono::seconds(20);
   };
 
   ServerLog() = default;
@@ -41,24 +41,24 @@
 
   void OnList(const std::vector<StoredObject>& objects);
   void OnChange(const StoredObject& object, TimePoint now);
-  /// Forgets removals that are old.
+  /// Drops expired removals.
   void Tick(TimePoint now);
 
-  /// What changed after the revision; everything if that is not known any more.
-  ObjectDelta Since(uint64_t revision) const;
+  /// Everything if the removals since the revision are no longer known.
+  ObjectDelta ChangesSince(uint64_t revision) const;
   uint64_t revision() const { return revision_; }
 
  private:
-  struct Entry {
+  struct LoggedObject {
     StoredObject object;
     TimePoint removed_at;
   };
 
   Options options_;
-  std::map<std::string, Entry> entries_;
+  std::map<std::string, LoggedObject> objects_;
   uint64_t revision_ = 0;
-  /// Removals after this revision are all known.
-  uint64_t removals_since_ = 0;
+  /// All removals after this revision are known.
+  uint64_t removals_known_after_ = 0;
 };
 
 }  // namespace lavenderkeel
--- a/test/forward/entry_roster_test.cc
+++ b/test/forward/entry_roster_test.cc
@@ -27,48 +27,48 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(NewcomerIsNewsOnceAndOnlyToWhoeverMetIt) {
+BOOST_AUTO_TEST_CASE(NewEntryIsAnnouncedOnceUnlessAnotherListedIt) {
   Harness h;
-  h.roster.OnMet(Entry("a"), h.clock.Now());
-  h.roster.OnTold({Entry("b")}, /*complete=*/false, h.clock.Now());
-  h.roster.OnMet(Entry("b"), h.clock.Now());
-  const std::vector<InstanceInfo> news = h.roster.TakeNews();
-  BOOST_TEST(news.size() == 1U);
-  BOOST_TEST(Has(news, "a"));
-  BOOST_TEST(h.roster.TakeNews().empty());
+  h.roster.OnConnected(Entry("a"), h.clock.Now());
+  h.roster.OnListed({Entry("b")}, /*complete=*/false, h.clock.Now());
+  h.roster.OnConnected(Entry("b"), h.clock.Now());
+  const std::vector<InstanceInfo> new_entries = h.roster.TakeNewEntries();
+  BOOST_TEST(new_entries.size() == 1U);
+  BOOST_TEST(Has(new_entries, "a"));
+  BOOST_TEST(h.roster.TakeNewEntries().empty());
   BOOST_TEST(h.roster.size() == 3U);
 }
 
 BOOST_AUTO_TEST_CASE(LatestIncarnationIsKept) {
   Harness h;
-  h.roster.OnMet(Entry("a", 2), h.clock.Now());
-  h.roster.OnTold({Entry("a", 1)}, false, h.clock.Now());
+  h.roster.OnConnected(Entry("a", 2), h.clock.Now());
+  h.roster.OnListed({Entry("a", 1)}, false, h.clock.Now());
   BOOST_TEST(h.roster.Others().front().id.incarnation == 2U);
-  h.roster.OnTold({Entry("a", 3)}, false, h.clock.Now());
+  h.roster.OnListed({Entry("a", 3)}, false, h.clock.Now());
   BOOST_TEST(h.roster.Others().front().id.incarnation == 3U);
 }
 
-// A machine is replaced for good. Nobody names it any more, so it is neither
-// dialled nor counted after a while; while this entry hears of nobody, as when
-// it is cut off, it forgets no one.
-BOOST_AUTO_TEST_CASE(EntryThatNobodyNamesIsForgotten) {
+// A machine is replaced for good, and no list contains its entry any more.
+// Guards against dialling and counting it forever. An entry that receives no
+// lists, as during a network partition, forgets no entry.
+BOOST_AUTO_TEST_CASE(UnlistedEntryIsForgotten) {
   Harness h;
-  h.roster.OnTold({Entry("a"), Entry("b")}, true, h.clock.Now());
+  h.roster.OnListed({Entry("a"), Entry("b")}, true, h.clock.Now());
   h.clock.Advance(std::chrono::seconds(11));
   BOOST_TEST(h.roster.size() == 3U);
-  h.roster.OnTold({Entry("b")}, true, h.clock.Now());
+  h.roster.OnListed({Entry("b")}, true, h.clock.Now());
   BOOST_TEST(!Has(h.roster.Others(), "a"));
   BOOST_TEST(Has(h.roster.Others(), "b"));
 }
 
-BOOST_AUTO_TEST_CASE(LostEntryIsDialledButNeitherToldNorChosen) {
+BOOST_AUTO_TEST_CASE(UnavailableEntryIsDialledButNeitherListedNorChosen) {
   Harness h;
-  h.roster.OnMet(Entry("a"), h.clock.Now());
-  h.roster.OnGone(Entry("a").id);
+  h.roster.OnConnected(Entry("a"), h.clock.Now());
+  h.roster.OnUnavailable(Entry("a").id);
   BOOST_TEST(Has(h.roster.Others(), "a"));
-  BOOST_TEST(!Has(h.roster.OthersThere(), "a"));
+  BOOST_TEST(!Has(h.roster.AvailableOthers(), "a"));
   BOOST_TEST(!h.roster.IsCoordinator("a"));
-  h.roster.OnMet(Entry("a"), h.clock.Now());
+  h.roster.OnConnected(Entry("a"), h.clock.Now());
   BOOST_TEST(h.roster.IsCoordinator("a"));
 }
 
