--- a/lavenderkeel/platform.h
+++ b/lavenderkeel/platform.h
@@ -1,4 +1,4 @@
-// Module platform: calls on the platform's object API.
+// Module platform: calls to the platform's object API.
 #ifndef LAVENDERKEEL_PLATFORM_H_
 #define LAVENDERKEEL_PLATFORM_H_
 
--- a/lavenderkeel/platform/conditional_update.cc
+++ b/lavenderkeel/platform/conditional_update.cc
@@ -16,7 +16,7 @@
 
 void ConditionalUpdate::Start() {
   if (state_ == State::kReading || state_ == State::kWriting) {
-    again_ = true;
+    restart_requested_ = true;
     return;
   }
   Read();
@@ -71,7 +71,7 @@
 void ConditionalUpdate::Finish() {
   state_ = State::kDone;
   backoff_.Reset();
-  if (std::exchange(again_, false)) {
+  if (std::exchange(restart_requested_, false)) {
     Read();
     return;
   }
--- a/lavenderkeel/platform/conditional_update.h
+++ b/lavenderkeel/platform/conditional_update.h
@@ -12,16 +12,18 @@
 
 namespace lavenderkeel {
 
-/// Brings one object to a state and tries until it is there.
+/// Read-modify-write of one object, retried until it succeeds.
 ///
-/// Each try reads, computes the next body and writes it on the condition that
-/// nobody wrote between. A write whose answer was lost needs no special case:
-/// the next try reads what is there, and `next` returns nothing if it is ours.
+/// Each attempt reads the object, computes the next body and writes it on
+/// condition that nobody has written in between. A write whose answer was lost
+/// needs no special case: the next attempt reads the object, and `next` returns
+/// nothing if the write took effect.
 class ConditionalUpdate {
  public:
   struct Options {
     std::string object;
-    /// The body to write given the present one; nothing if no write is needed.
+    /// Computes the body to write from the present one; returns nothing if no
+    /// write is needed.
     std::function<std::optional<std::string>(
         const std::optional<std::string>& present)>
         next;
@@ -35,7 +37,7 @@
                     std::mt19937_64& random,
                     PlatformPort& port);
 
-  /// Begins, or begins anew when what `next` returns has changed.
+  /// Starts the update, or restarts it after the result of `next` has changed.
   void Start();
   void Tick();
   bool finished() const { return state_ == State::kDone; }
@@ -56,7 +58,7 @@
   Backoff backoff_;
   State state_ = State::kIdle;
   TimePoint retry_at_;
-  bool again_ = false;
+  bool restart_requested_ = false;
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/platform/platform_port.h
+++ b/lavenderkeel/platform/platform_port.h
@@ -10,9 +10,9 @@
 
 namespace lavenderkeel {
 
-/// What came back from the platform. An object's version is its ETag.
+/// Reply of the platform to a call. An object's version is its ETag.
 struct PlatformReply {
-  /// The status for "no answer": the call may or may not have taken effect.
+  /// Status of a call without an answer: it may or may not have taken effect.
   static constexpr int kNoAnswer = 0;
   static constexpr int kMissing = 404;
   static constexpr int kPreconditionFailed = 412;
@@ -22,31 +22,33 @@
   std::string body;
 
   bool ok() const { return status == 200 || status == 201; }
-  /// There is no such object.
+  /// The object does not exist.
   bool missing() const { return status == kMissing; }
-  /// The object is not as the write required it.
+  /// The object's version is not the one that the write requires.
   bool precondition_failed() const { return status == kPreconditionFailed; }
-  /// The platform said that it did not do it; trying again later may help.
+  /// The platform rejected the call without carrying it out; a later retry may
+  /// succeed.
   bool refused() const { return status == 429 || status == 503; }
 
   friend bool operator==(const PlatformReply&, const PlatformReply&) = default;
 };
 
-/// Numbers calls on the platform and hands each reply to whoever asked.
+/// Numbers calls to the platform and passes each reply to the handler of its
+/// call.
 class PlatformPort {
  public:
   using Handler = std::function<void(const PlatformReply&)>;
 
   explicit PlatformPort(Outbox& outbox) : outbox_(outbox) {}
 
-  /// The call number in `call` is overwritten.
+  /// Sends a call; the number in `call` is overwritten.
   void Call(PlatformCall call, Handler handler) {
     call.call = ++last_call_;
     handlers_[call.call] = std::move(handler);
     outbox_.Push(std::move(call));
   }
 
-  /// @param call of a PlatformCall action; an unknown one is ignored
+  /// @param call the number of a PlatformCall action; an unknown one is ignored
   void OnReply(PlatformCallId call, const PlatformReply& reply) {
     const auto found = handlers_.find(call);
     if (found == handlers_.end()) {
--- a/test/platform/header_codec_test.cc
+++ b/test/platform/header_codec_test.cc
@@ -28,18 +28,18 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(RequestIsReadIntoTerms) {
-  const auto terms = hybrid::MakeHeaderCodec().read_request(ClientHead());
-  BOOST_REQUIRE(terms.has_value());
-  BOOST_TEST((*terms == RequestTerms{.request_id = "9c41",
-                                     .api_key = "secret",
-                                     .time_left = std::chrono::seconds(10),
-                                     .prompt_tokens = 1460,
-                                     .output_tokens = 80,
-                                     .last_event_id = "12"}));
+BOOST_AUTO_TEST_CASE(RequestMetadataIsDecoded) {
+  const auto metadata = hybrid::MakeHeaderCodec().read_request(ClientHead());
+  BOOST_REQUIRE(metadata.has_value());
+  BOOST_TEST((*metadata == RequestTerms{.request_id = "9c41",
+                                        .api_key = "secret",
+                                        .time_left = std::chrono::seconds(10),
+                                        .prompt_tokens = 1460,
+                                        .output_tokens = 80,
+                                        .last_event_id = "12"}));
 }
 
-BOOST_AUTO_TEST_CASE(UnreadableFieldsAreRefusedNotGuessed) {
+BOOST_AUTO_TEST_CASE(UnreadableFieldsAreRejected) {
   const ForwardCodec codec = hybrid::MakeHeaderCodec();
   for (const HttpField& bad : HttpFields{{"Deadline-Ms", "soon"},
                                          {"Token-Count", "12"},
@@ -53,9 +53,9 @@
   BOOST_TEST(!codec.read_request({.fields = {{"Host", "h"}}}).has_value());
 }
 
-// A client sends fields that only the system may set, and its key. The server
-// gets the team of the key, and neither the key nor what was forged.
-BOOST_AUTO_TEST_CASE(ServerGetsWhatTheSystemSetsAndNothingForged) {
+// Guards against forwarding the client's API key or fields that only the system
+// may set. The server receives the team that the key belongs to.
+BOOST_AUTO_TEST_CASE(ServerReceivesNoForgedFields) {
   const RequestHead sent = hybrid::MakeHeaderCodec().write_request(
       ClientHead(), {.server_id = "i-7f",
                      .team = "hule",
@@ -72,7 +72,7 @@
                                         {"Last-Event-Id", "15"}}));
 }
 
-BOOST_AUTO_TEST_CASE(AnswersAreReadIntoTerms) {
+BOOST_AUTO_TEST_CASE(AnswerMetadataIsDecoded) {
   const ForwardCodec codec = hybrid::MakeHeaderCodec();
   BOOST_TEST((codec.read_answer({.status = 200,
                                  .fields = {{"request-id", "9c41"},
--- a/test/platform/object_decoder_test.cc
+++ b/test/platform/object_decoder_test.cc
@@ -13,7 +13,7 @@
 
 namespace json = boost::json;
 
-json::object GoodEntry() {
+json::object ValidEntry() {
   return {{"service", "models"}, {"address", "10.1.0.4:80"},
           {"zone", "a"},         {"version", "v1"},
           {"slots", 5},          {"state", "ready"},
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(ServerIsReadWithItsStart) {
-  const auto server = Decode(GoodEntry());
+BOOST_AUTO_TEST_CASE(ServerIsDecodedWithItsStart) {
+  const auto server = Decode(ValidEntry());
   BOOST_REQUIRE(static_cast<bool>(server));
   BOOST_TEST((*server.value == BackendServer{.id = "i-1",
                                              .born = 1'770'000'000'123,
@@ -41,41 +41,41 @@
                                              .slots = 5}));
 }
 
-BOOST_AUTO_TEST_CASE(ServerNeedNotTellItsStart) {
-  json::object entry = GoodEntry();
+BOOST_AUTO_TEST_CASE(StartOfAServerIsOptional) {
+  json::object entry = ValidEntry();
   entry.erase("born");
   const auto server = Decode(entry);
   BOOST_REQUIRE(static_cast<bool>(server));
   BOOST_TEST(server.value->start_key() == "i-1");
 }
 
-// Another writer's entry lacks a field, has one of another type, or speaks of a
-// state that nobody knows. It names no server that requests could be sent to.
-BOOST_AUTO_TEST_CASE(EntriesOfOtherWritersNameNoServer) {
-  const std::vector<json::value> strange = {
+// Guards against sending requests to a server from an invalid entry of another
+// writer: a field is missing or of another type, or the state is unknown.
+BOOST_AUTO_TEST_CASE(InvalidEntriesAreRejected) {
+  const std::vector<json::value> unusual_values = {
       nullptr, true, -1, 1.5, "", "other", json::array{1}, json::object{}};
   for (const char* field : {"service", "address", "zone", "slots", "state"}) {
-    json::object missing = GoodEntry();
+    json::object missing = ValidEntry();
     missing.erase(field);
     BOOST_TEST(!Decode(missing), field << " is missing");
-    for (const json::value& value : strange) {
-      const bool names_another =
+    for (const json::value& value : unusual_values) {
+      const bool is_valid =
           value == json::value("other") &&
           (std::string(field) == "service" || std::string(field) == "zone");
-      json::object entry = GoodEntry();
+      json::object entry = ValidEntry();
       entry[field] = value;
-      BOOST_TEST(static_cast<bool>(Decode(entry)) == names_another,
+      BOOST_TEST(static_cast<bool>(Decode(entry)) == is_valid,
                  field << " is " << json::serialize(value));
     }
   }
-  for (const json::value& value : strange) {
-    json::object entry = GoodEntry();
+  for (const json::value& value : unusual_values) {
+    json::object entry = ValidEntry();
     entry["born"] = value;
     BOOST_TEST(!Decode(entry), "born is " << json::serialize(value));
   }
 }
 
-BOOST_AUTO_TEST_CASE(ArbitraryBytesNameNoServer) {
+BOOST_AUTO_TEST_CASE(ArbitraryBytesAreRejected) {
   rc::check([](const std::string& bytes) {
     RC_ASSERT(!Catch([&bytes] {
       return hybrid::DecodeServer({.name = "i-1", .content = bytes});
--- a/test/platform/rollout_codec_test.cc
+++ b/test/platform/rollout_codec_test.cc
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(OrderIsReadWithItsTime) {
+BOOST_AUTO_TEST_CASE(OrderIsDecodedWithItsDuration) {
   const auto order =
       Catch([] { return hybrid::DecodeRollout(Stored(kSpec, "")); });
   BOOST_REQUIRE(static_cast<bool>(order));
@@ -34,7 +34,7 @@
                                     .duration = std::chrono::seconds(12)}));
 }
 
-BOOST_AUTO_TEST_CASE(RecordThatWasWrittenIsReadBack) {
+BOOST_AUTO_TEST_CASE(EncodedRecordIsDecoded) {
   const RolloutRecord record = {
       .state = RolloutRecord::State::kRolledBack,
       .to = "v2",
@@ -50,8 +50,9 @@
   BOOST_TEST(order.value->answered());
 }
 
-// An order without a version is taken for one that moves everything.
-BOOST_AUTO_TEST_CASE(OrderWithoutVersionIsRefused) {
+// Guards against treating an order without a version as one that moves all
+// requests.
+BOOST_AUTO_TEST_CASE(OrderWithoutVersionIsRejected) {
   const auto order = Catch([] {
     return hybrid::DecodeRollout(Stored(R"({"service":"plain"})", ""));
   });
@@ -60,8 +61,9 @@
   BOOST_TEST(order.failure.message.find("/to") != std::string::npos);
 }
 
-// What others wrote beside an order hides the order.
-BOOST_AUTO_TEST_CASE(UnreadableRecordIsNone) {
+// Guards against losing an order because of an unreadable status from another
+// writer.
+BOOST_AUTO_TEST_CASE(UnreadableRecordIsIgnored) {
   for (const char* status :
        {"[]", "{", R"({"state":"paused","to":"v2"})", R"({"state":4})"}) {
     const auto order =
@@ -71,8 +73,9 @@
   }
 }
 
-// A record of another order with the same name ends the new one.
-BOOST_AUTO_TEST_CASE(RecordOfAnEarlierOrderDoesNotAnswer) {
+// Guards against ending a new order by the record of an earlier order with the
+// same name.
+BOOST_AUTO_TEST_CASE(RecordOfAnEarlierOrderIsNoAnswer) {
   const auto order = Catch([] {
     return hybrid::DecodeRollout(
         Stored(kSpec, R"({"state":"completed","to":"v1","durationS":12})"));
@@ -81,7 +84,7 @@
   BOOST_TEST(!order.value->answered());
 }
 
-BOOST_AUTO_TEST_CASE(AnswersToWritesAreToldApart) {
+BOOST_AUTO_TEST_CASE(OutcomesOfWritesAreDistinguished) {
   using hybrid::StoreReader;
   const RecordWrite done = StoreReader::DecodeWrite(
       200, R"({"metadata":{"name":"plain","revision":44},"spec":{}})");
--- a/test/platform/store_reader_test.cc
+++ b/test/platform/store_reader_test.cc
@@ -9,7 +9,7 @@
 using hybrid::StoreReader;
 using ReadOutcome = ObjectReadResult::Outcome;
 
-BOOST_AUTO_TEST_CASE(ReadsAreSpelledAsTheStoreWants) {
+BOOST_AUTO_TEST_CASE(ReadPathsFollowTheStoreApi) {
   BOOST_TEST(StoreReader::PathOf({.object_kind = "servers"}) ==
              "/objects/servers");
   BOOST_TEST(
@@ -43,21 +43,21 @@
   BOOST_TEST(changes.revision == 10U);
 }
 
-// Another writer has put objects without a readable name, and one of bytes that
-// are no text, among the servers. Taken for an unreadable answer, they would
-// leave the entry without any server; they are left out and the others hold.
-BOOST_AUTO_TEST_CASE(ObjectsOfOtherWritersDoNotHideTheRest) {
+// Guards against an entry without any server: another writer has stored objects
+// without a readable name, and one that is not valid text, among the servers.
+// They are left out and the other objects stay valid.
+BOOST_AUTO_TEST_CASE(InvalidObjectsDoNotHideValidOnes) {
   std::string deep(100, '[');
   deep += std::string(100, ']');
-  for (const std::string& strange :
+  for (const std::string& invalid :
        {std::string("{}"), std::string("7"), std::string("null"),
         std::string(R"({"metadata":[]})"), std::string(R"({"metadata":{}})"),
         std::string(R"({"metadata":{"name":5}})"),
         std::string(R"({"metadata":{"name":"x","revision":"y"}})"), deep}) {
     std::string body = R"({"items":[)";
-    body.append(strange)
+    body.append(invalid)
         .append(R"(,{"metadata":{"name":"i-1"},"spec":{}},)")
-        .append(strange)
+        .append(invalid)
         .append(R"(],"currentRev":9})");
     const ObjectReadResult list =
         StoreReader::Decode(ObjectRead::Kind::kList, 200, body);
@@ -72,9 +72,9 @@
   BOOST_TEST(bytes.objects.size() == 2U);
 }
 
-// An answer that can't be read whole is no answer: taken in part it could hide
-// a change for good.
-BOOST_AUTO_TEST_CASE(UnreadableAnswersAreNoAnswer) {
+// Guards against losing a change for good: an answer that can be decoded only
+// in part counts as no answer.
+BOOST_AUTO_TEST_CASE(UnreadableAnswersCountAsNoAnswer) {
   for (const char* body :
        {"", "[]", "{", R"({"items":{},"currentRev":1})", R"({"items":[]})"}) {
     BOOST_TEST(
@@ -138,7 +138,7 @@
                       .idle_time = std::chrono::milliseconds(400)}}));
 }
 
-BOOST_AUTO_TEST_CASE(FaultsOfAConfigurationAreNamedWithTheirPath) {
+BOOST_AUTO_TEST_CASE(FaultsOfAConfigurationNameTheirPath) {
   const auto table = Catch(
       [] { return hybrid::DecodeConfig(R"({"routes":[{"host":"h"}]})"); });
   BOOST_TEST(!table);
