--- a/lavenderkeel/base/clock.h
+++ b/lavenderkeel/base/clock.h
@@ -9,17 +9,17 @@
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 using WallTime = std::chrono::time_point<std::chrono::system_clock, Duration>;
 
-/// The source of time for everything that decides.
+/// Source of time for everything that makes decisions.
 ///
-/// Daemons pass a SystemClock, tests and the fuzzer a clock that they set.
+/// Daemons pass a SystemClock, tests and the fuzzer a clock that they control.
 class Clock {
  public:
   virtual ~Clock() = default;
 
-  /// Monotonic time; the only one that timeouts and leases are measured with.
+  /// Monotonic time, the only time that timeouts and leases are measured with.
   virtual TimePoint Now() const = 0;
 
-  /// Calendar time; only for what crosses processes, such as a key's age.
+  /// Calendar time, only for values that cross processes, such as a key's age.
   virtual WallTime WallNow() const = 0;
 };
 
@@ -35,29 +35,29 @@
   }
 };
 
-/// Whole milliseconds of a duration, rounded down.
+/// Converts a duration to whole milliseconds, rounded down.
 inline int64_t ToMilliseconds(Duration duration) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration)
       .count();
 }
 
-/// A duration in seconds, with their fraction.
+/// Converts a duration to seconds with a fraction.
 inline double ToSeconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
 }
 
-/// The duration of so many seconds, rounded down to a microsecond.
+/// Converts seconds to a duration, rounded down to a microsecond.
 inline Duration FromSeconds(double seconds) {
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(seconds));
 }
 
-/// A duration in milliseconds, with their fraction.
+/// Converts a duration to milliseconds with a fraction.
 inline double ToFractionalMilliseconds(Duration duration) {
   return std::chrono::duration<double, std::milli>(duration).count();
 }
 
-/// The duration of so many milliseconds, rounded down to a microsecond.
+/// Converts milliseconds to a duration, rounded down to a microsecond.
 inline Duration FromMilliseconds(double milliseconds) {
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double, std::milli>(milliseconds));
--- a/lavenderkeel/base/event_log.cc
+++ b/lavenderkeel/base/event_log.cc
@@ -16,7 +16,7 @@
     if (c == '"' || c == '\\') {
       line += '\\';
     }
-    // A caller's line break must not begin a forged log line.
+    // A line break from a caller must not start a forged log line.
     line += (c == '\n' || c == '\r') ? ' ' : c;
   }
   line += '"';
--- a/lavenderkeel/base/event_log.h
+++ b/lavenderkeel/base/event_log.h
@@ -25,15 +25,15 @@
       : name(field_name), value(std::to_string(number)) {}
 };
 
-/// Writes one line per event. The sink is a hook: daemons pass log4cplus, the
-/// tests a list, the benchmarks nothing.
+/// Structured log with one line per event. The sink is a hook: daemons pass
+/// log4cplus, tests a list, benchmarks nothing.
 class EventLog {
  public:
   using Sink = std::function<void(LogLevel, const std::string& line)>;
 
   EventLog() = default;
-  explicit EventLog(Sink sink, LogLevel lowest = LogLevel::kInfo)
-      : sink_(std::move(sink)), lowest_(lowest) {}
+  explicit EventLog(Sink sink, LogLevel min_level = LogLevel::kInfo)
+      : sink_(std::move(sink)), min_level_(min_level) {}
 
   void Write(LogLevel level,
              std::string_view event,
@@ -48,12 +48,13 @@
     Write(LogLevel::kWarning, event, fields);
   }
 
-  /// False where a caller may skip building a costly field.
-  bool enabled(LogLevel level) const { return sink_ && level >= lowest_; }
+  /// True if lines of this level are written; a caller may skip building a
+  /// costly field otherwise.
+  bool enabled(LogLevel level) const { return sink_ && level >= min_level_; }
 
  private:
   Sink sink_;
-  LogLevel lowest_ = LogLevel::kInfo;
+  LogLevel min_level_ = LogLevel::kInfo;
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/base/failure.h
+++ b/lavenderkeel/base/failure.h
@@ -14,7 +14,7 @@
 
 namespace leaf = boost::leaf;
 
-/// The error that travels in a leaf::result.
+/// Error that a leaf::result carries.
 struct Failure {
   ResultCode code = ResultCode::kServerFailed;
   std::string message;
@@ -42,8 +42,8 @@
 
 }  // namespace internal
 
-/// Runs a function that returns leaf::result<T> and hands its Failure out, for
-/// callers that report the failure and do not pass it on.
+/// Runs a function that returns leaf::result<T> and returns its value or its
+/// Failure, for callers that report the failure and do not propagate it.
 template <typename Function>
 auto Catch(Function&& function) {
   using T = typename internal::ResultValue<decltype(function())>::Type;
--- a/lavenderkeel/base/log_limiter.h
+++ b/lavenderkeel/base/log_limiter.h
@@ -10,46 +10,47 @@
 
 namespace lavenderkeel {
 
-/// Bounds the number of log lines and counts those left out.
+/// Token bucket for log lines that counts the dropped ones.
 ///
-/// Failure: a flood of requests, each with its lines, fills the pipe to the
-/// log collector. Symptom: the process blocks on its own log. A bounded rate,
-/// and dropping what does not fit, keep the log from slowing the requests.
+/// A flood of requests, each with its lines, can fill the pipe to the log
+/// collector, and the process then blocks on its own log. Dropping the lines
+/// above a bounded rate keeps logging from slowing down requests.
 class LogLimiter {
  public:
   struct Options {
-    /// Three lines a request at several hundred requests a second.
+    /// Enough for three lines per request at several hundred requests a second.
     double lines_per_second = 1500;
     double burst = 3000;
   };
 
   LogLimiter() = default;
   explicit LogLimiter(Options options)
-      : options_(options), level_(options.burst) {}
+      : options_(options), tokens_(options.burst) {}
 
-  /// True if a line may be written now.
+  /// Uses up a token. Returns false, and counts the line as dropped, if none is
+  /// left.
   bool Take(TimePoint now) {
-    const double seconds = ToSeconds(now - filled_);
-    level_ = std::min(options_.burst, level_ + std::max(0.0, seconds) *
-                                                   options_.lines_per_second);
-    filled_ = now;
-    if (level_ < 1) {
+    const double seconds = ToSeconds(now - refilled_at_);
+    tokens_ = std::min(options_.burst, tokens_ + std::max(0.0, seconds) *
+                                                     options_.lines_per_second);
+    refilled_at_ = now;
+    if (tokens_ < 1) {
       ++dropped_;
       return false;
     }
-    level_ -= 1;
+    tokens_ -= 1;
     return true;
   }
 
   void CountDropped() { ++dropped_; }
 
-  /// Lines left out since the last call.
+  /// Returns the number of lines dropped since the last call.
   uint64_t TakeDropped() { return std::exchange(dropped_, 0); }
 
  private:
   Options options_;
-  double level_ = Options().burst;
-  TimePoint filled_;
+  double tokens_ = Options().burst;
+  TimePoint refilled_at_;
   uint64_t dropped_ = 0;
 };
 
--- a/lavenderkeel/base/metrics.h
+++ b/lavenderkeel/base/metrics.h
@@ -8,7 +8,8 @@
 
 namespace lavenderkeel {
 
-/// Counters and distributions of one process, written as Prometheus text.
+/// Counters, gauges and distributions of one process, written as Prometheus
+/// text.
 class Metrics {
  public:
   Metrics();
@@ -27,8 +28,8 @@
 
   uint64_t counter(const std::string& name) const;
 
-  /// Prometheus text exposition; distributions as count, mean, max and the
-  /// 50th, 95th and 99th percentiles.
+  /// Returns the Prometheus text exposition; distributions appear as count,
+  /// mean, max and the 50th, 95th and 99th percentiles.
   std::string ToPrometheus() const;
 
  private:
--- a/lavenderkeel/base/peer_id.h
+++ b/lavenderkeel/base/peer_id.h
@@ -9,10 +9,10 @@
 
 enum class Role : uint8_t { kEntry = 0, kAgent = 1 };
 
-/// One life of a process: its instance and when it started.
+/// Identity of one run of a process: its instance and its start.
 ///
-/// A restarted process has lost its state, so it must never be taken for its
-/// predecessor; comparing instance names alone would do just that.
+/// A restarted process has lost its state, so it must never be mistaken for its
+/// predecessor, as a comparison of instance names alone would do.
 struct PeerId {
   std::string instance;
   uint64_t incarnation = 0;
--- a/lavenderkeel/base/refusal_body.h
+++ b/lavenderkeel/base/refusal_body.h
@@ -9,7 +9,7 @@
 
 namespace lavenderkeel {
 
-/// The JSON that every answer without the server's own result carries:
+/// Builds the JSON body of every answer that is not the server's own result:
 /// `{"error": {"code", "name", "outcome", "message", "retry_after_ms"}}`.
 std::string RefusalBody(ResultCode code,
                         std::string_view message,
--- a/lavenderkeel/base/request_key.h
+++ b/lavenderkeel/base/request_key.h
@@ -14,18 +14,19 @@
 
 namespace lavenderkeel {
 
-/// A UUIDv7: the idempotency key of a request.
+/// Idempotency key of a request, a UUIDv7.
 ///
 /// The first 48 bits are the milliseconds since 1970 at which the caller first
-/// sent it; that is what lets an entry tell whether it was up at that time.
+/// sent the request, so an entry can tell whether it was running at that time.
 struct RequestKey {
   uint64_t hi = 0;
   uint64_t lo = 0;
 
-  /// Reads the canonical text form; nothing for any other form or version.
+  /// Parses the canonical text form; returns nothing for any other form or UUID
+  /// version.
   static std::optional<RequestKey> Parse(std::string_view text);
 
-  /// A fresh key.
+  /// Creates a new key.
   static RequestKey Mint(WallTime now, std::mt19937_64& random);
 
   WallTime first_sent() const;
--- a/lavenderkeel/base/result_code.h
+++ b/lavenderkeel/base/result_code.h
@@ -9,11 +9,11 @@
 
 /// What a caller may conclude about its request.
 ///
-/// kUnknown may never be turned into kNotRun: the caller of a request that may
+/// kUnknown must never be turned into kNotRun: the caller of a request that may
 /// have run would send it again under another key, and it would run twice.
 enum class Outcome { kAnswered, kNotRun, kUnknown };
 
-/// The numbered results; docs/RESULT_CODES.md lists them and is tested against
+/// Numbered results. docs/RESULT_CODES.md lists them; a test compares it with
 /// this table.
 enum class ResultCode : uint32_t {
   kAnswered = 0,
@@ -84,8 +84,9 @@
 /// All codes in ascending order.
 std::span<const ResultCodeInfo> ResultCodeTable();
 
-/// The entry of a code; a number that is in no table reads as kServerFailed,
-/// since an unknown number from a newer peer must not become "not run".
+/// Returns the table entry of a code. A number that is not in the table is
+/// treated as kServerFailed, since an unknown code from a newer peer must not
+/// become "not run".
 const ResultCodeInfo& Describe(ResultCode code);
 
 std::string_view OutcomeName(Outcome outcome);
--- a/lavenderkeel/http/event_stream.cc
+++ b/lavenderkeel/http/event_stream.cc
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// The position behind the first empty line, or npos. Lines end in \n or \r\n.
+/// Returns the position after the first empty line, or npos. Lines end in \n or
+/// \r\n.
 size_t EndOfEvent(std::string_view text) {
   size_t line = 0;
   for (size_t end = text.find('\n'); end != std::string_view::npos;
--- a/lavenderkeel/http/event_stream.h
+++ b/lavenderkeel/http/event_stream.h
@@ -8,7 +8,7 @@
 
 namespace lavenderkeel {
 
-/// One server-sent event with its bytes as they came, the empty line included.
+/// A server-sent event with its bytes as received, including the empty line.
 struct StreamEvent {
   std::string bytes;
   /// Empty for an event without an id, such as a comment.
@@ -17,18 +17,20 @@
   friend bool operator==(const StreamEvent&, const StreamEvent&) = default;
 };
 
-/// Cuts the body of a `text/event-stream` into whole events.
+/// Splits the body of a `text/event-stream` into whole events.
 ///
-/// A server may stop in the middle of an event. Only whole ones are forwarded,
-/// so that a run resumed elsewhere goes on exactly where the client stands.
+/// A server may stop in the middle of an event. Only whole events are
+/// forwarded, so that a run resumed on another server continues exactly after
+/// the last event that the client has received.
 class EventStreamReader {
  public:
   void Feed(std::string_view bytes) { pending_ += bytes; }
 
-  /// The next whole event, or nothing until more has come.
+  /// Returns the next whole event, or nothing until more bytes arrive.
   std::optional<StreamEvent> Next();
 
-  /// A part of an event is left: the stream is not at a boundary.
+  /// True if bytes of an incomplete event remain: the stream is not at an event
+  /// boundary.
   bool has_part() const { return !pending_.empty(); }
 
  private:
--- a/lavenderkeel/http/message_head.h
+++ b/lavenderkeel/http/message_head.h
@@ -18,10 +18,10 @@
 
 using HttpFields = std::vector<HttpField>;
 
-/// Compares field names as HTTP does, without regard to case.
+/// Compares field names without regard to case, as HTTP requires.
 bool SameFieldName(std::string_view left, std::string_view right);
 
-/// The first field of that name, or null.
+/// Returns the value of the first field of that name, or null.
 const std::string* FindField(const HttpFields& fields, std::string_view name);
 
 /// True if the comma-separated list of a field's values has the token.
@@ -29,8 +29,8 @@
                    std::string_view name,
                    std::string_view token);
 
-/// Fields that concern one connection only and are never forwarded, the ones
-/// that `Connection` names included.
+/// Returns the fields without those that apply to one connection only and are
+/// never forwarded, including the ones that `Connection` names.
 HttpFields WithoutConnectionFields(const HttpFields& fields);
 
 struct RequestHead {
@@ -42,7 +42,7 @@
   friend bool operator==(const RequestHead&, const RequestHead&) = default;
 };
 
-/// How the end of a body is known.
+/// How the end of a body is determined.
 enum class BodyFraming { kNone, kLength, kChunked, kUntilClose };
 
 struct ResponseHead {
@@ -55,22 +55,23 @@
   friend bool operator==(const ResponseHead&, const ResponseHead&) = default;
 };
 
-/// The head on the wire with `Content-Length: body_size`.
+/// Encodes a request: the head, with `Content-Length: body_size`, and the body.
 std::string EncodeRequest(const RequestHead& head, std::string_view body);
 
-/// The head on the wire with a length.
+/// Encodes a response: the head, with its length, and the body.
 std::string EncodeResponse(const ResponseHead& head, std::string_view body);
 
-/// The head on the wire of a chunked response.
+/// Encodes the head of a chunked response.
 std::string EncodeChunkedHead(const ResponseHead& head);
 
-/// One chunk; empty for no bytes, since an empty chunk would end the body.
+/// Encodes one chunk. Returns nothing for no bytes, since an empty chunk would
+/// end the body.
 std::string EncodeChunk(std::string_view bytes);
 
 /// The chunk that ends a body.
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
-/// The customary reason phrase of a status.
+/// Returns the standard reason phrase of a status.
 std::string_view ReasonOf(int status);
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/http/message_reader.cc
+++ b/lavenderkeel/http/message_reader.cc
@@ -32,7 +32,8 @@
   explicit Parser(ReadLimits limits) : body_limit_(limits.body_bytes) {
     this->eager(true);
     this->header_limit(static_cast<std::uint32_t>(limits.head_bytes));
-    // Counted here, so that a body over the limit is told from a bad one.
+    // OnBody() counts the bytes instead, to distinguish a body over the limit
+    // from a malformed one.
     this->body_limit(boost::none);
   }
 
@@ -40,19 +41,21 @@
     if (fault_ != ReadFault::kNone || this->is_done() || bytes.empty()) {
       return 0;
     }
-    // The parser asserts five bytes when it looks again at the line of a last
-    // chunk that it has seen without its end, so a client that sends it byte
-    // by byte would end the process. Nothing shorter can end a body anyway.
-    constexpr size_t kLeastLastChunk = 5;
-    if (stalled_ && this->is_header_done() && bytes.size() < kLeastLastChunk) {
+    // Beast asserts that it has five bytes when it parses the line of a last
+    // chunk again that it has seen without its end, so a client that sends this
+    // line byte by byte would abort the process. A body can't end with fewer
+    // bytes anyway.
+    constexpr size_t kMinLastChunkBytes = 5;
+    if (has_unconsumed_bytes_ && this->is_header_done() &&
+        bytes.size() < kMinLastChunkBytes) {
       return 0;
     }
     started_ = true;
     beast::error_code error;
     const size_t consumed =
         this->put(boost::asio::buffer(bytes.data(), bytes.size()), error);
-    stalled_ = consumed < bytes.size();
-    Note(error);
+    has_unconsumed_bytes_ = consumed < bytes.size();
+    RecordFault(error);
     return consumed;
   }
 
@@ -63,10 +66,10 @@
     beast::error_code error;
     if (this->got_some() && this->need_eof()) {
       this->put_eof(error);
-      Note(error);
+      RecordFault(error);
       return;
     }
-    fault_ = ReadFault::kCutShort;
+    fault_ = ReadFault::kTruncated;
   }
 
   ReadFault fault() const { return fault_; }
@@ -75,13 +78,13 @@
   std::string TakeBody() { return std::exchange(body_, {}); }
 
  private:
-  void Note(const beast::error_code& error) {
+  void RecordFault(const beast::error_code& error) {
     if (!error || error == http::error::need_more ||
         fault_ != ReadFault::kNone) {
       return;
     }
     fault_ = error == http::error::header_limit      ? ReadFault::kHeadTooLarge
-             : error == http::error::partial_message ? ReadFault::kCutShort
+             : error == http::error::partial_message ? ReadFault::kTruncated
                                                      : ReadFault::kMalformed;
   }
 
@@ -120,12 +123,12 @@
                      beast::string_view value,
                      beast::error_code& error) override {
     if (head_done_) {
-      return;  // A trailer; what it says is not part of the head.
+      return;  // A trailer field, which is not part of the head.
     }
-    hosts_ += field == http::field::host ? 1 : 0;
+    host_count_ += field == http::field::host ? 1 : 0;
     if (field == http::field::content_length) {
-      ++lengths_;
-      // The parser takes a list of equal lengths; a server may not.
+      ++length_count_;
+      // Beast accepts a list of equal lengths; a backend server may not.
       const bool digits = std::ranges::all_of(
           View(value), [](char c) { return c >= '0' && c <= '9'; });
       if (!digits) {
@@ -133,7 +136,7 @@
       }
     }
     if (field == http::field::transfer_encoding) {
-      ++codings_;
+      ++coding_count_;
       if (!SameFieldName(View(value), "chunked")) {
         error = http::error::bad_transfer_encoding;
       }
@@ -144,9 +147,9 @@
 
   void on_header_impl(beast::error_code& error) override {
     head_done_ = true;
-    const bool ambiguous =
-        lengths_ > 1 || codings_ > 1 || (lengths_ > 0 && codings_ > 0);
-    if (ambiguous || (kIsRequest && hosts_ != 1)) {
+    const bool ambiguous = length_count_ > 1 || coding_count_ > 1 ||
+                           (length_count_ > 0 && coding_count_ > 0);
+    if (ambiguous || (kIsRequest && host_count_ != 1)) {
       error = http::error::bad_field;
       return;
     }
@@ -201,13 +204,13 @@
   std::string body_;
   size_t body_total_ = 0;
   int version_ = 0;
-  int hosts_ = 0;
-  int lengths_ = 0;
-  int codings_ = 0;
+  int host_count_ = 0;
+  int length_count_ = 0;
+  int coding_count_ = 0;
   bool head_done_ = false;
   bool started_ = false;
-  /// Bytes of the last call were left over.
-  bool stalled_ = false;
+  /// True if the last call left bytes unconsumed.
+  bool has_unconsumed_bytes_ = false;
   ReadFault fault_ = ReadFault::kNone;
 };
 
--- a/lavenderkeel/http/message_reader.h
+++ b/lavenderkeel/http/message_reader.h
@@ -12,13 +12,14 @@
 
 namespace lavenderkeel {
 
-/// Why a message can't be read on. The connection has lost its framing.
+/// Reasons why a message can't be read any further. The connection has lost its
+/// framing then.
 enum class ReadFault {
   kNone,
   kMalformed,
   kHeadTooLarge,
   kBodyTooLarge,
-  kCutShort,
+  kTruncated,
 };
 
 /// Bounds on one message, in bytes.
@@ -27,12 +28,12 @@
   uint64_t body_bytes = uint64_t{4} << 20;
 };
 
-/// Reads one HTTP/1.1 message from bytes as they arrive, without sockets.
+/// Incremental parser of one HTTP/1.1 message, without sockets.
 ///
-/// The framing is Boost.Beast's; on top of it a message is refused if its
-/// length could be read in two ways (a length beside chunks, two lengths, a
-/// coding other than chunked, two hosts). A request hidden in the body of
-/// another has its way in through just such messages.
+/// Boost.Beast does the framing. A message is also rejected if its length could
+/// be read in two ways (a length beside chunks, two lengths, a coding other
+/// than chunked) or if it has two hosts. Request smuggling, a request hidden in
+/// the body of another, relies on such messages.
 template <typename Head>
 class MessageReader {
  public:
@@ -41,22 +42,23 @@
   MessageReader(MessageReader&&) noexcept;
   MessageReader& operator=(MessageReader&&) noexcept;
 
-  /// Reads on. Bytes that are not consumed have to be given again, with more
-  /// behind them; after done() they belong to the next message.
+  /// Parses bytes. Bytes that are not consumed have to be passed again,
+  /// followed by more; after done() they belong to the next message.
   /// @return the number of bytes consumed
   size_t Feed(std::string_view bytes);
 
-  /// The peer closed its side in order. Ends a body that has no other end.
+  /// Handles an orderly close by the peer, which ends a body that has no other
+  /// end.
   void FeedEnd();
 
   bool head_done() const;
   bool done() const;
   ReadFault fault() const;
-  /// Any byte of the message has come.
+  /// True once any byte of the message has arrived.
   bool started() const;
   /// Valid once head_done().
   const Head& head() const;
-  /// Body bytes since the last call, without framing.
+  /// Returns the body bytes since the last call, without framing.
   std::string TakeBody();
 
  private:
--- a/lavenderkeel/wire/codec.h
+++ b/lavenderkeel/wire/codec.h
@@ -12,17 +12,17 @@
 
 namespace lavenderkeel {
 
-/// Peers with another number are refused at the greeting.
+/// Peers whose Hello has another version are rejected.
 inline constexpr uint32_t kProtocolVersion = 1;
 
-/// Bytes before each frame: its length, little endian.
+/// Size of the length that precedes each frame, little endian.
 inline constexpr size_t kFrameHeaderSize = 4;
 
-/// A frame above this is refused before any of it is buffered, so that a
-/// hostile length can't make a daemon allocate gigabytes.
+/// A larger frame is rejected before any of it is buffered, so that a malicious
+/// length can't make a daemon allocate gigabytes.
 inline constexpr size_t kMaxFrameSize = size_t{9} << 20;
 
-/// Length header and FlatBuffers frame of a message.
+/// Encodes a message as a FlatBuffers frame with its length header.
 std::string EncodeFrame(const Message& message);
 
 /// Verifies and unpacks a frame with its header.
@@ -33,7 +33,7 @@
 ///     is of a type that this version does not know.
 leaf::result<Message> DecodeFrame(std::span<const uint8_t> frame);
 
-/// Reads the length header; kFrameTooLarge above kMaxFrameSize.
+/// Reads the length header; fails with kFrameTooLarge above kMaxFrameSize.
 leaf::result<size_t> DecodeFrameLength(
     std::span<const uint8_t, kFrameHeaderSize> header);
 
--- a/lavenderkeel/wire/message.h
+++ b/lavenderkeel/wire/message.h
@@ -9,7 +9,7 @@
 
 namespace lavenderkeel {
 
-// messages.fbs documents each message; these are its value types.
+// Value types of the messages that messages.fbs documents.
 using Hello = fbs::HelloT;
 using Heartbeat = fbs::HeartbeatT;
 using Reserve = fbs::ReserveT;
--- a/test/base/codec_test.cc
+++ b/test/base/codec_test.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-RC_BOOST_PROP(MessageSurvivesItsFrame,
+RC_BOOST_PROP(MessageIsDecodedFromItsFrame,
               (const std::string& path, const std::vector<uint8_t>& body)) {
   const Message message = SampleGo(path, body);
   const std::vector<uint8_t> frame = FrameOf(message);
@@ -32,20 +32,21 @@
   RC_ASSERT(std::get<Go>(*decoded.value) == std::get<Go>(message));
 }
 
-// A hostile peer sends a frame with bytes changed or cut off. It is refused or
-// read as some message; nothing is read outside the frame (the sanitizers
-// would tell).
-RC_BOOST_PROP(DamagedFrameIsHarmless,
-              (std::vector<uint8_t> body, std::vector<uint16_t> places)) {
+// Guards against reads outside a frame that a malicious peer has changed or
+// truncated, which the sanitizers would report. The frame is rejected or
+// decoded as some message.
+RC_BOOST_PROP(CorruptFrameIsReadWithinItsBounds,
+              (std::vector<uint8_t> body, std::vector<uint16_t> positions)) {
   std::vector<uint8_t> frame = FrameOf(SampleGo("/v1/completions", body));
-  for (const uint16_t place : places) {
-    frame[place % frame.size()] ^= static_cast<uint8_t>(1U << (place % 8U));
+  for (const uint16_t position : positions) {
+    frame[position % frame.size()] ^=
+        static_cast<uint8_t>(1U << (position % 8U));
   }
-  frame.resize(frame.size() - (places.size() % frame.size()) / 2);
+  frame.resize(frame.size() - (positions.size() % frame.size()) / 2);
   (void)Catch([&] { return DecodeFrame(frame); });
 }
 
-BOOST_AUTO_TEST_CASE(HugeLengthIsRefused) {
+BOOST_AUTO_TEST_CASE(OversizedLengthIsRejected) {
   const std::array<uint8_t, kFrameHeaderSize> header = {0xFF, 0xFF, 0xFF, 0x7F};
   const auto length = Catch([&] { return DecodeFrameLength(header); });
   BOOST_TEST(!length);
--- a/test/base/log_limiter_test.cc
+++ b/test/base/log_limiter_test.cc
@@ -4,9 +4,9 @@
 
 namespace lavenderkeel {
 
-// A flood of refused requests logs three lines each. The log keeps to its rate,
-// and says afterwards how many lines it left out.
-BOOST_AUTO_TEST_CASE(LogKeepsToItsRateAndCountsWhatItDrops) {
+// Guards against unbounded logging: a flood of rejected requests logs three
+// lines each. The log keeps to its rate and reports how many lines it dropped.
+BOOST_AUTO_TEST_CASE(LogRateIsLimitedAndDropsAreCounted) {
   LogLimiter limiter({.lines_per_second = 10, .burst = 2});
   const TimePoint start = TimePoint(std::chrono::hours(1));
   BOOST_TEST(limiter.Take(start));
--- a/test/base/request_key_test.cc
+++ b/test/base/request_key_test.cc
@@ -6,7 +6,7 @@
 
 namespace lavenderkeel {
 
-RC_BOOST_PROP(KeyKeepsItsTextAndTime, (uint64_t seed)) {
+RC_BOOST_PROP(ParsedKeyKeepsItsTime, (uint64_t seed)) {
   std::mt19937_64 random(seed);
   const WallTime now(std::chrono::milliseconds(random() >> 20));
   const RequestKey key = RequestKey::Mint(now, random);
@@ -14,11 +14,11 @@
   RC_ASSERT(key.first_sent() == now);
 }
 
-RC_BOOST_PROP(OtherTextIsRefused, (const std::string& text)) {
+RC_BOOST_PROP(TextThatIsNoKeyIsRejected, (const std::string& text)) {
   RC_ASSERT(!RequestKey::Parse(text).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(OtherVersionsAreRefused) {
+BOOST_AUTO_TEST_CASE(OtherUuidVersionsAreRejected) {
   BOOST_TEST(
       RequestKey::Parse("01890a5d-ac96-774b-bcce-b302099a8057").has_value());
   BOOST_TEST(
--- a/test/base/result_code_test.cc
+++ b/test/base/result_code_test.cc
@@ -6,8 +6,9 @@
 
 namespace lavenderkeel {
 
-// docs/RESULT_CODES.md has a row for each code, as the table has it.
-BOOST_AUTO_TEST_CASE(PageMatchesTheTable) {
+// Guards against a table and docs/RESULT_CODES.md that differ: the page has a
+// row for each code.
+BOOST_AUTO_TEST_CASE(ResultCodePageMatchesTheTable) {
   std::ifstream file(std::string(LAVENDERKEEL_SOURCE_DIR) +
                      "/docs/RESULT_CODES.md");
   std::ostringstream page;
@@ -21,7 +22,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(UnknownNumbersDoNotReadAsNotRun) {
+BOOST_AUTO_TEST_CASE(UnknownCodesDoNotMeanNotRun) {
   BOOST_TEST(
       (Describe(static_cast<ResultCode>(987654)).outcome == Outcome::kUnknown));
 }
--- a/test/http/event_stream_test.cc
+++ b/test/http/event_stream_test.cc
@@ -6,9 +6,10 @@
 
 namespace lavenderkeel {
 
-// A server stops in the middle of an event. The client has whole events only,
-// so that the run which goes on elsewhere fits on behind the last of them.
-BOOST_AUTO_TEST_CASE(OnlyWholeEventsComeOut) {
+// Guards against forwarding a part of an event when a server stops in the
+// middle of it: a run that is resumed on another server must continue after the
+// last complete event.
+BOOST_AUTO_TEST_CASE(OnlyCompleteEventsAreReturned) {
   EventStreamReader reader;
   reader.Feed("id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\nda");
   const auto first = reader.Next();
@@ -22,7 +23,7 @@
   BOOST_TEST(reader.has_part());
 }
 
-BOOST_AUTO_TEST_CASE(CutsOfAStreamDoNotMatter) {
+BOOST_AUTO_TEST_CASE(EventsDoNotDependOnHowBytesAreSplit) {
   rc::check([] {
     std::string stream;
     const int count = *rc::gen::inRange(0, 20);
--- a/test/http/message_reader_test.cc
+++ b/test/http/message_reader_test.cc
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Feeds everything at once. @return the bytes left over
+/// Feeds all bytes.
+/// @return the bytes that are left unconsumed
 template <typename Reader>
 std::string FeedAll(Reader& reader, std::string bytes) {
   while (!bytes.empty()) {
@@ -23,7 +24,7 @@
   return bytes;
 }
 
-/// A request with these fields beside its host.
+/// Returns a request with these fields in addition to its host.
 std::string Post(const std::string& fields, const std::string& body) {
   return "POST / HTTP/1.1\r\nHost: h\r\n" + fields + "\r\n\r\n" + body;
 }
@@ -36,7 +37,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(RequestWithLengthIsReadAndTheNextOneLeft) {
+BOOST_AUTO_TEST_CASE(NextRequestIsLeftUnread) {
   RequestReader reader({});
   const std::string rest =
       FeedAll(reader,
@@ -49,7 +50,7 @@
   BOOST_TEST(rest == "GET / HTTP/1.1\r\n");
 }
 
-BOOST_AUTO_TEST_CASE(ChunkedRequestIsReadWithoutItsFraming) {
+BOOST_AUTO_TEST_CASE(ChunkedRequestIsDecodedWithoutItsFraming) {
   RequestReader reader({});
   FeedAll(reader,
           "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -58,9 +59,10 @@
   BOOST_TEST(reader.TakeBody() == "abcde");
 }
 
-// The caller hides a second request in a body whose end can be read in two
-// ways. Were it forwarded, a server that reads the other way would run it.
-BOOST_AUTO_TEST_CASE(AmbiguousRequestsAreRefused) {
+// Guards against request smuggling: a caller hides a second request in a body
+// whose end can be read in two ways. If it were forwarded, a server that reads
+// the other way would run it.
+BOOST_AUTO_TEST_CASE(AmbiguousRequestsAreRejected) {
   const std::vector<std::string> ambiguous = {
       Post("Content-Length: 3\r\nTransfer-Encoding: chunked", "0\r\n\r\n"),
       Post("Transfer-Encoding: chunked\r\nContent-Length: 3", "0\r\n\r\n"),
@@ -83,7 +85,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(TooLargeIsToldFromMalformed) {
+BOOST_AUTO_TEST_CASE(TooLargeIsDistinguishedFromMalformed) {
   BOOST_TEST(
       (FaultOf("GET / HTTP/1.1\r\nHost: h\r\nX: " + std::string(600, 'x') +
                "\r\n\r\n") == ReadFault::kHeadTooLarge));
@@ -105,16 +107,16 @@
   BOOST_TEST(reader.TakeBody() == "abc");
 }
 
-BOOST_AUTO_TEST_CASE(AnswerCutShortIsNotDone) {
+BOOST_AUTO_TEST_CASE(TruncatedAnswerIsNotDone) {
   ResponseReader reader({});
   FeedAll(reader, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc");
   reader.FeedEnd();
   BOOST_TEST(!reader.done());
-  BOOST_TEST((reader.fault() == ReadFault::kCutShort));
+  BOOST_TEST((reader.fault() == ReadFault::kTruncated));
 }
 
-// However the bytes are cut, the same message comes out.
-BOOST_AUTO_TEST_CASE(CutsDoNotMatter) {
+// The decoded message does not depend on how its bytes are split.
+BOOST_AUTO_TEST_CASE(MessageDoesNotDependOnHowBytesAreSplit) {
   rc::check([](const std::vector<std::string>& parts) {
     std::string body;
     std::string wire =
@@ -140,8 +142,8 @@
   });
 }
 
-// What is written can be read again, and nothing else comes out of it.
-BOOST_AUTO_TEST_CASE(WrittenRequestsAreReadBack) {
+// An encoded request is decoded to the same request, with no bytes left.
+BOOST_AUTO_TEST_CASE(EncodedRequestsAreDecoded) {
   rc::check([](const std::string& body) {
     const RequestHead head{.method = "POST",
                            .target = "/p/q?r=s",
