--- a/cli/main.cc
+++ b/cli/main.cc
@@ -1,4 +1,4 @@
-// lavenderkeel: the operators' command.
+// lavenderkeel: the operators' command-line tool.
 #include <gflags/gflags.h>
 
 #include <boost/json.hpp>
@@ -26,7 +26,7 @@
 namespace json = boost::json;
 using lavenderkeel::HttpResult;
 
-/// The exit statuses of INTERFACES.
+/// Exit statuses, as documented in INTERFACES.
 enum ExitStatus {
   kAccepted = 0,
   kBadUse = 2,
@@ -39,15 +39,15 @@
     "lavenderkeel --entry ADDRESS --key_file FILE COMMAND\n"
     "\n"
     "  config validate FILE   check a document, offline\n"
-    "  config apply FILE      make it the configuration in force\n"
+    "  config apply FILE      put a document in force\n"
     "  config get             show the configuration in force\n"
     "  preset list            show the presets\n"
     "  preset show            show the preset in force\n"
     "  preset use NAME        put a preset in force\n"
     "  status                 instances, versions, queues\n"
-    "  drain INSTANCE         give an instance no new work\n"
-    "  undrain INSTANCE       give it work again\n"
-    "  explain KEY            why a request went where it went\n"
+    "  drain INSTANCE         stop giving an instance new work\n"
+    "  undrain INSTANCE       give an instance new work again\n"
+    "  explain KEY            show why a request was placed where it was\n"
     "\n"
     "  --if_version N         accept only if version N is in force\n"
     "  --output json|text     (text)\n"
@@ -59,7 +59,7 @@
   std::string method = "GET";
   std::string path;
   std::string body;
-  /// A change: without an answer its outcome is unknown.
+  /// True for a change: if no answer arrives, its outcome is unknown.
   bool changes = false;
 };
 
@@ -106,8 +106,8 @@
   if (first == "config" && second == "get" && words.size() == 2) {
     return Call{"GET", "/admin/v1/config", "", false};
   }
-  const bool lists = second == "list" || second == "show";
-  if (first == "preset" && lists && words.size() == 2) {
+  const bool is_list_command = second == "list" || second == "show";
+  if (first == "preset" && is_list_command && words.size() == 2) {
     return Call{"GET", "/admin/v1/presets", "", false};
   }
   if (first == "preset" && second == "use" && words.size() == 3) {
@@ -117,8 +117,8 @@
   if (first == "status" && words.size() == 1) {
     return Call{"GET", "/admin/v1/status", "", false};
   }
-  const bool drains = first == "drain" || first == "undrain";
-  if (drains && words.size() == 2) {
+  const bool is_drain_command = first == "drain" || first == "undrain";
+  if (is_drain_command && words.size() == 2) {
     return Call{"POST", "/admin/v1/" + first,
                 json::serialize(json::object{{"name", second}}), true};
   }
@@ -150,7 +150,7 @@
   return result;
 }
 
-/// Indented `name: value` lines.
+/// Prints the value as indented `name: value` lines.
 void PrintText(const json::value& value, const std::string& indent) {
   if (const json::object* object = value.if_object()) {
     for (const auto& field : *object) {
@@ -240,7 +240,7 @@
     return kBadUse;
   }
   if (FLAGS_entry.empty() || FLAGS_key_file.empty()) {
-    std::cerr << "--entry and --key_file are needed\n";
+    std::cerr << "--entry and --key_file are required\n";
     return kBadUse;
   }
   const std::optional<std::string> key = ReadFile(FLAGS_key_file);
--- a/daemons/agent_main.cc
+++ b/daemons/agent_main.cc
@@ -1,4 +1,4 @@
-// lavenderkeel-agent: the gate before one backend server.
+// lavenderkeel-agent: the gate in front of one backend server.
 #include <iostream>
 #include <utility>
 
@@ -11,7 +11,7 @@
 int Main(int argc, char** argv) {
   int status = 0;
   const auto flags = ParseDaemonFlags(
-      argc, argv, "lavenderkeel-agent: the gate before one backend server",
+      argc, argv, "lavenderkeel-agent: the gate in front of one backend server",
       status);
   if (!flags.has_value()) {
     return status;
--- a/daemons/entry_main.cc
+++ b/daemons/entry_main.cc
@@ -1,4 +1,4 @@
-// lavenderkeel-entry: takes callers' requests.
+// lavenderkeel-entry: accepts callers' requests.
 #include <iostream>
 #include <utility>
 
@@ -11,7 +11,7 @@
 int Main(int argc, char** argv) {
   int status = 0;
   const auto flags = ParseDaemonFlags(
-      argc, argv, "lavenderkeel-entry: takes callers' requests", status);
+      argc, argv, "lavenderkeel-entry: accepts callers' requests", status);
   if (!flags.has_value()) {
     return status;
   }
--- a/lavenderkeel/io.h
+++ b/lavenderkeel/io.h
@@ -1,4 +1,4 @@
-// Module io: sockets, HTTP and timers around the deciding components.
+// Module io: sockets, HTTP and timers around the decision-making components.
 #ifndef LAVENDERKEEL_IO_H_
 #define LAVENDERKEEL_IO_H_
 
--- a/lavenderkeel/io/action_runner.h
+++ b/lavenderkeel/io/action_runner.h
@@ -9,21 +9,21 @@
 
 namespace lavenderkeel {
 
-/// Carries out the actions of an outbox until it stays empty.
+/// Executes the actions of an outbox until it stays empty.
 ///
-/// An action may lead to further events, and those to further actions; they
-/// are run in order by the outermost call.
+/// An action may cause further events, and these may cause further actions; the
+/// outermost call executes all of them in order.
 class ActionRunner {
  public:
-  template <typename Carry>
-  void Run(Outbox& outbox, Carry&& carry) {
+  template <typename Visitor>
+  void Run(Outbox& outbox, Visitor&& visitor) {
     if (std::exchange(running_, true)) {
       return;
     }
     for (std::vector<Action> actions = outbox.Take(); !actions.empty();
          actions = outbox.Take()) {
       for (Action& action : actions) {
-        std::visit(carry, action);
+        std::visit(visitor, action);
       }
     }
     running_ = false;
--- a/lavenderkeel/io/address.h
+++ b/lavenderkeel/io/address.h
@@ -9,21 +9,22 @@
 
 namespace lavenderkeel {
 
-/// An IP number and a port.
+/// IP address and port.
 struct Address {
   std::string host;
   uint16_t port = 0;
 
-  /// Reads "127.0.0.1:80" or "[::1]:80"; host names are not looked up.
+  /// Parses "127.0.0.1:80" or "[::1]:80"; host names are not looked up.
   static std::optional<Address> Parse(const std::string& text);
   std::string ToString() const;
-  /// Fills the socket API's form. @return its length
+  /// Converts to the form of the socket API.
+  /// @return the length of the result
   socklen_t ToSocketAddress(sockaddr_storage& storage) const;
 
   friend bool operator==(const Address&, const Address&) = default;
 };
 
-/// The address a socket is bound to.
+/// Returns the address that a socket is bound to.
 std::string BoundAddress(int socket);
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/io/agent_daemon.cc
+++ b/lavenderkeel/io/agent_daemon.cc
@@ -24,13 +24,13 @@
                 settings_.common.platform,
                 [this](PlatformCallId call, const PlatformReply& reply) {
                   node_.OnPlatformReply(call, reply);
-                  Settle();
+                  ExecuteActions();
                 }),
       server_(http_client_,
               settings_.server_address,
               node_.gate().server(),
-              [this] { Settle(); }) {
-  WirePeers(peers_, node_, [this] { Settle(); });
+              [this] { ExecuteActions(); }) {
+  WirePeers(peers_, node_, [this] { ExecuteActions(); });
 }
 
 int AgentDaemon::Run(const std::string& ready_file) {
@@ -51,7 +51,7 @@
                           {"peers", *peers},
                           {"server", settings_.server_address}});
   WriteReadyFile(ready_file, {{"peers", *peers}});
-  Settle();
+  ExecuteActions();
   loop_.Run();
   log_.Info("stopped", {{"instance", settings_.common.self.id.instance}});
   return 0;
@@ -60,15 +60,15 @@
 void AgentDaemon::OnTick() {
   node_.Tick();
   peers_.Tick(clock_.Now());
-  Settle();
-  // The ends of answers must have left; a silent peer's link is dropped by its
-  // heartbeats, so this does not wait for good.
+  ExecuteActions();
+  // The last bytes of answers must have been sent. The heartbeats drop the link
+  // of an unresponsive peer, so this wait is bounded.
   if (node_.CanExit() && peers_.unsent() == 0) {
     loop_.Stop();
   }
 }
 
-void AgentDaemon::Settle() {
+void AgentDaemon::ExecuteActions() {
   runner_.Run(node_.outbox(), [this](auto& action) {
     using T = std::decay_t<decltype(action)>;
     if constexpr (std::is_same_v<T, SendMessage> ||
--- a/lavenderkeel/io/agent_daemon.h
+++ b/lavenderkeel/io/agent_daemon.h
@@ -24,7 +24,7 @@
   int Run(const std::string& ready_file);
 
  private:
-  void Settle();
+  void ExecuteActions();
   void OnTick();
 
   AgentSettings settings_;
--- a/lavenderkeel/io/client_port.cc
+++ b/lavenderkeel/io/client_port.cc
@@ -17,12 +17,12 @@
 
 namespace {
 
-/// Bytes of following requests that are read ahead while one is answered.
+/// Bytes of following requests that are read ahead while a request is answered.
 constexpr size_t kReadAheadBytes = size_t{64} << 10;
 
-/// How long a client may take to read the answer to a request that was not
-/// read whole. Closing with unread bytes would reset the connection and take
-/// the answer with it.
+/// Time that a client has to read the answer to a request that was not read
+/// completely. Closing a socket with unread bytes would reset the connection,
+/// and the answer would be lost.
 constexpr Duration kLingerTime = std::chrono::seconds(1);
 
 std::string_view InputOf(bufferevent* events) {
@@ -62,11 +62,11 @@
 struct ClientPort::Connection {
   enum class State {
     kReading,
-    /// A request is with the controller; nothing more is read.
+    /// The controller handles a request; no further request is parsed.
     kBusy,
-    /// The answer is complete but not all of it is written.
+    /// The answer is complete, but not fully written.
     kFlushing,
-    /// Answered for the last time; what still comes is thrown away.
+    /// The last answer is written; further input is discarded.
     kLingering,
   };
 
@@ -84,8 +84,9 @@
   ExchangeId exchange = 0;
   bool keep_alive = true;
   bool continue_sent = false;
-  /// When the present wait began: for a request, for its end, for the client.
-  TimePoint since;
+  /// Start of the current wait: for a request, for the rest of it, or for the
+  /// client.
+  TimePoint wait_started_at;
 };
 
 ClientPort::ClientPort(EventLoop& loop, const Clock& clock, Hooks hooks)
@@ -97,7 +98,8 @@
 }
 
 std::optional<std::string> ClientPort::Listen(const std::string& text) {
-  /// Connections that may wait to be accepted; a burst of all clients at once.
+  /// Connections that may wait to be accepted; enough for a burst of all
+  /// clients at once.
   constexpr int kBacklog = 1024;
   listener_ = internal::NewListener<ClientPort, &ClientPort::Accept>(
       loop_.base(), text, kBacklog, *this);
@@ -131,7 +133,7 @@
       std::make_unique<Connection>(*this, id, LimitsOf(hooks_.limits()));
   connection->events =
       bufferevent_socket_new(loop_.base(), socket, BEV_OPT_CLOSE_ON_FREE);
-  connection->since = clock_.Now();
+  connection->wait_started_at = clock_.Now();
   bufferevent_setcb(
       connection->events,
       [](bufferevent*, void* arg) {
@@ -160,7 +162,7 @@
     ReadRequest(connection);
     return;
   }
-  // Stops reading at the bound, so that a client can't fill the memory.
+  // Stops reading at the limit, so that a client can't exhaust the memory.
   if (InputOf(connection.events).size() >= kReadAheadBytes) {
     bufferevent_disable(connection.events, EV_READ);
   }
@@ -179,7 +181,7 @@
     return;
   }
   if (!reader.started()) {
-    connection.since = clock_.Now();
+    connection.wait_started_at = clock_.Now();
   }
   while (!input.empty() && !reader.done() &&
          reader.fault() == ReadFault::kNone) {
@@ -270,7 +272,8 @@
 
 void ClientPort::RespondEnd(ExchangeId exchange) {
   if (Connection* connection = FindExchange(exchange)) {
-    // A stream that began before the stop still ends its connection.
+    // A stream whose head was sent before set_leaving() keeps its connection
+    // open; CloseIdle() closes it.
     bufferevent_write(connection->events, kLastChunk.data(), kLastChunk.size());
     Finish(*connection);
   }
@@ -280,9 +283,9 @@
   exchanges_.erase(connection.exchange);
   connection.exchange = 0;
   connection.state = Connection::State::kFlushing;
-  connection.since = clock_.Now();
-  // Written when the loop comes round, never from here: a caller may still be
-  // at work on this connection.
+  connection.wait_started_at = clock_.Now();
+  // Deferred to the next iteration of the event loop, since a caller up the
+  // stack may still use this connection.
   if (UnsentOf(connection.events) == 0) {
     const ConnectionId id = connection.id;
     loop_.Defer([this, id] {
@@ -304,7 +307,7 @@
   }
   connection.state = Connection::State::kReading;
   connection.continue_sent = false;
-  connection.since = clock_.Now();
+  connection.wait_started_at = clock_.Now();
   connection.reader = RequestReader(LimitsOf(hooks_.limits()));
   bufferevent_enable(connection.events, EV_READ);
   ReadRequest(connection);
@@ -312,7 +315,7 @@
 
 void ClientPort::BeginLinger(Connection& connection) {
   connection.state = Connection::State::kLingering;
-  connection.since = clock_.Now();
+  connection.wait_started_at = clock_.Now();
   shutdown(bufferevent_getfd(connection.events), SHUT_WR);
   bufferevent_enable(connection.events, EV_READ);
   Consume(connection.events, InputOf(connection.events).size());
@@ -328,7 +331,7 @@
 
 void ClientPort::Abort(ExchangeId exchange) {
   if (Connection* connection = FindExchange(exchange)) {
-    // Freed later: the caller may be in one of this connection's events.
+    // Freed later, since the caller may be in an event of this connection.
     exchanges_.erase(exchange);
     connection->exchange = 0;
     connection->state = Connection::State::kLingering;
@@ -349,28 +352,28 @@
 void ClientPort::Tick() {
   const TimePoint now = clock_.Now();
   const ClientLimits limits = hooks_.limits();
-  std::vector<ConnectionId> over;
+  std::vector<ConnectionId> expired;
   std::vector<ConnectionId> slow;
   for (const auto& [id, connection] : connections_) {
-    const Duration age = now - connection->since;
+    const Duration age = now - connection->wait_started_at;
     const RequestReader& reader = connection->reader;
     if (connection->state == Connection::State::kLingering) {
       if (age > kLingerTime) {
-        over.push_back(id);
+        expired.push_back(id);
       }
       continue;
     }
     if (connection->state != Connection::State::kReading) {
       continue;
     }
-    const Duration longest = reader.started() && !reader.head_done()
+    const Duration max_age = reader.started() && !reader.head_done()
                                  ? limits.head_time
                                  : limits.idle_time;
-    if (age > longest) {
-      (reader.started() ? slow : over).push_back(id);
+    if (age > max_age) {
+      (reader.started() ? slow : expired).push_back(id);
     }
   }
-  for (const ConnectionId id : over) {
+  for (const ConnectionId id : expired) {
     Close(id);
   }
   for (const ConnectionId id : slow) {
--- a/lavenderkeel/io/client_port.h
+++ b/lavenderkeel/io/client_port.h
@@ -20,17 +20,18 @@
 
 namespace lavenderkeel {
 
-/// Connections of clients: reads one request at a time from each, strictly,
-/// and writes its answer. Bytes behind a request wait until it is answered.
+/// HTTP server for clients. Reads one request at a time from each connection,
+/// with strict framing, and writes its answer. Bytes that follow a request wait
+/// until it is answered.
 class ClientPort {
  public:
   struct Hooks {
     std::function<void(ExchangeId, RequestHead, std::string body)> on_request;
-    /// A request that can't be read; the connection ends with its answer.
+    /// A request can't be parsed; the connection closes after its answer.
     std::function<void(ExchangeId, ResultCode)> on_bad_request;
-    /// The client closed before the answer was written whole.
+    /// The client closed the connection before the answer was fully written.
     std::function<void(ExchangeId)> on_gone;
-    /// The bounds in force.
+    /// Returns the limits in force.
     std::function<ClientLimits()> limits;
   };
 
@@ -39,13 +40,13 @@
   ClientPort(const ClientPort&) = delete;
   ClientPort& operator=(const ClientPort&) = delete;
 
-  /// @return the address bound, nothing on failure
+  /// @return the bound address, or nothing on failure
   std::optional<std::string> Listen(const std::string& address);
   void StopListening();
-  /// Closes connections on which no request has begun; those of a request that
-  /// crosses the close are not read, so its client may send it elsewhere.
+  /// Closes connections on which no request has begun. A request that arrives
+  /// at the same time is not read, so its client may send it to another entry.
   void CloseIdle();
-  /// From now on each answer closes its connection.
+  /// Makes each further answer close its connection.
   void set_leaving() { leaving_ = true; }
 
   void Respond(ExchangeId exchange,
@@ -56,10 +57,11 @@
   void RespondEnd(ExchangeId exchange);
   void Abort(ExchangeId exchange);
 
-  /// Closes what is idle or slow for too long.
+  /// Closes connections that are idle or slow for too long.
   void Tick();
 
-  /// Requests that are not answered and written whole.
+  /// Returns the number of requests that are not yet answered or whose answer
+  /// is not fully written.
   size_t busy() const;
   size_t connections() const { return connections_.size(); }
 
--- a/lavenderkeel/io/daemon_main.cc
+++ b/lavenderkeel/io/daemon_main.cc
@@ -67,8 +67,8 @@
   }
   status = kBadUseStatus;
   if (FLAGS_settings.empty() || argc > 1) {
-    std::cerr << "event=bad_use message=\"--settings FILE is needed, and "
-                 "nothing besides flags\"\n";
+    std::cerr << "event=bad_use message=\"--settings FILE is required, and "
+                 "only flags are accepted\"\n";
     return std::nullopt;
   }
   std::ifstream file(FLAGS_settings);
@@ -85,7 +85,7 @@
                      .check_only = FLAGS_check};
 }
 
-EventLog OpenLog(LogLevel lowest, const std::string& file) {
+EventLog OpenLog(LogLevel min_level, const std::string& file) {
   static log4cplus::Initializer initializer;
   log4cplus::SharedAppenderPtr appender;
   if (file.empty()) {
@@ -99,12 +99,12 @@
       LOG4CPLUS_TEXT("time=%D{%Y-%m-%dT%H:%M:%S.%q}Z level=%p %m%n")));
   log4cplus::Logger root = log4cplus::Logger::getRoot();
   root.addAppender(appender);
-  root.setLogLevel(ToLog4cplus(lowest));
+  root.setLogLevel(ToLog4cplus(min_level));
   return EventLog(
       [root](LogLevel level, const std::string& line) {
         root.log(ToLog4cplus(level), LOG4CPLUS_STRING_TO_TSTRING(line));
       },
-      lowest);
+      min_level);
 }
 
 bool WriteReadyFile(
@@ -117,15 +117,15 @@
   for (const auto& [name, address] : addresses) {
     object[name] = address;
   }
-  const std::string part = path + ".part";
+  const std::string temporary_path = path + ".part";
   {
-    std::ofstream file(part, std::ios::trunc);
+    std::ofstream file(temporary_path, std::ios::trunc);
     file << boost::json::serialize(object) << "\n";
     if (!file.flush()) {
       return false;
     }
   }
-  return std::rename(part.c_str(), path.c_str()) == 0;
+  return std::rename(temporary_path.c_str(), path.c_str()) == 0;
 }
 
 void PrepareProcess() {
--- a/lavenderkeel/io/daemon_main.h
+++ b/lavenderkeel/io/daemon_main.h
@@ -14,13 +14,13 @@
 
 inline constexpr char kVersion[] = "0.1.0";
 
-/// Exit status of a daemon whose settings or flags are wrong.
+/// Exit status of a daemon with invalid settings or flags.
 inline constexpr int kBadUseStatus = 2;
 
-/// How often a daemon's controllers look at the time.
+/// Period at which a daemon calls Tick() of its controllers.
 inline constexpr int kTickMilliseconds = 20;
 
-/// The flags that daemons share.
+/// Command-line flags that all daemons share.
 struct DaemonFlags {
   std::string settings_text;
   std::string ready_file;
@@ -35,19 +35,23 @@
                                             const std::string& usage,
                                             int& status);
 
-/// A log on standard output or a file, one line per event, over log4cplus.
-EventLog OpenLog(LogLevel lowest, const std::string& file);
+/// Opens a log with one line per event, over log4cplus.
+///
+/// @param file path of the log; empty for standard output
+EventLog OpenLog(LogLevel min_level, const std::string& file);
 
-/// Writes the addresses whole, by rename, so that no reader sees a part.
+/// Writes the addresses to a file atomically, by rename, so that no reader sees
+/// an incomplete file.
 bool WriteReadyFile(
     const std::string& path,
     const std::vector<std::pair<std::string, std::string>>& addresses);
 
-/// Lifts the bound on open descriptors as far as allowed, and makes writes to
-/// closed connections fail and not end the process.
+/// Raises the limit on open file descriptors as far as allowed, and ignores
+/// SIGPIPE, so that a write to a closed connection fails instead of ending the
+/// process.
 void PrepareProcess();
 
-/// A number that grows with each start of an instance.
+/// Returns a number that grows with each start of an instance.
 uint64_t NewIncarnation();
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/io/entry_daemon.cc
+++ b/lavenderkeel/io/entry_daemon.cc
@@ -28,12 +28,12 @@
            .on_drained =
                [this](CallerId caller) {
                  node_.OnCallerDrained(caller);
-                 Settle();
+                 ExecuteActions();
                },
            .on_gone =
                [this](CallerId caller) {
                  node_.OnCallerGone(caller);
-                 Settle();
+                 ExecuteActions();
                },
            .on_too_large =
                [this](CallerId caller) {
@@ -46,9 +46,9 @@
                 settings_.common.platform,
                 [this](PlatformCallId call, const PlatformReply& reply) {
                   node_.OnPlatformReply(call, reply);
-                  Settle();
+                  ExecuteActions();
                 }) {
-  WirePeers(peers_, node_, [this] { Settle(); });
+  WirePeers(peers_, node_, [this] { ExecuteActions(); });
 }
 
 int EntryDaemon::Run(const std::string& ready_file) {
@@ -75,7 +75,7 @@
                           {"callers", *callers},
                           {"peers", *peers}});
   WriteReadyFile(ready_file, {{"callers", *callers}, {"peers", *peers}});
-  Settle();
+  ExecuteActions();
   loop_.Run();
   log_.Info("stopped", {{"instance", settings_.common.self.id.instance}});
   return 0;
@@ -84,10 +84,11 @@
 void EntryDaemon::OnTick() {
   node_.Tick();
   peers_.Tick(clock_.Now());
-  Settle();
-  // Failure: the process ends while connections made before the stop are still
-  // unread. Symptom: their callers see a reset and can't tell whether they ran.
-  // It goes on answering "leaving" until the balancer has stopped sending.
+  ExecuteActions();
+  // Connections made before the stop may still be unread. If the process ended
+  // now, their callers would see a reset and could not tell whether their
+  // requests ran. The entry therefore goes on answering "leaving" until the
+  // balancer has stopped sending.
   constexpr Duration kQuietTime = std::chrono::milliseconds(500);
   const bool quiet = clock_.Now() - last_request_ > kQuietTime;
   if (node_.CanExit() && callers_.open() == 0 && peers_.unsent() == 0 &&
@@ -118,10 +119,10 @@
   }
   last_request_ = clock_.Now();
   node_.OnCallerRequest(std::move(read));
-  Settle();
+  ExecuteActions();
 }
 
-void EntryDaemon::Settle() {
+void EntryDaemon::ExecuteActions() {
   runner_.Run(node_.outbox(), [this](auto& action) {
     using T = std::decay_t<decltype(action)>;
     if constexpr (std::is_same_v<T, SendMessage> ||
--- a/lavenderkeel/io/entry_daemon.h
+++ b/lavenderkeel/io/entry_daemon.h
@@ -20,14 +20,14 @@
  public:
   EntryDaemon(EntrySettings settings, const EventLog& log);
 
-  /// Binds, then runs until the graceful shutdown is over.
+  /// Binds the sockets, then runs until the graceful shutdown is complete.
   ///
   /// @param ready_file written once the sockets are bound; may be empty
   /// @return the exit status
   int Run(const std::string& ready_file);
 
  private:
-  void Settle();
+  void ExecuteActions();
   void OnRequest(const HttpRequest& request);
   void OnTick();
 
--- a/lavenderkeel/io/event_loop.h
+++ b/lavenderkeel/io/event_loop.h
@@ -12,7 +12,7 @@
 
 namespace lavenderkeel {
 
-/// The one loop of a process.
+/// Event loop of a process, over libevent.
 class EventLoop {
  public:
   using Task = std::function<void()>;
@@ -29,8 +29,8 @@
   /// Calls the task every period until the loop ends.
   void Every(Duration period, Task task);
   void OnSignal(int signal, Task task);
-  /// Calls the task once, after the present event is handled: what is freed
-  /// there is not in use any more by the library further up the stack.
+  /// Calls the task once, after the current event is handled, when the library
+  /// up the stack no longer uses what the task frees.
   void Defer(Task task);
 
  private:
--- a/lavenderkeel/io/forward_daemon.cc
+++ b/lavenderkeel/io/forward_daemon.cc
@@ -15,18 +15,19 @@
 
 namespace {
 
-/// A suspended machine's steady clock stands still; boot time goes on. Shorter
-/// pauses change nothing that is believed here.
-constexpr Duration kLeastSuspension = std::chrono::milliseconds(300);
+/// The steady clock stops while the machine is suspended, but the boot time
+/// does not. Shorter suspensions don't invalidate any state of this process.
+constexpr Duration kMinSuspension = std::chrono::milliseconds(300);
 
-/// How long new requests are taken after the request to stop. The balancer
-/// asks for readiness once a second and needs two refusals; where no other
-/// entry is near it goes on sending until the port is closed. Streams last up
-/// to several seconds, so what comes later could not be finished before the
+/// Time after the request to stop in which new requests are accepted. The
+/// balancer checks readiness once a second and needs two refusals; where no
+/// other entry is near, it goes on sending until the port is closed. Streams
+/// last up to several seconds, so a later request could not finish before the
 /// process is killed.
-constexpr Duration kTakesNewTime = std::chrono::milliseconds(2700);
+constexpr Duration kAcceptTimeAfterStop = std::chrono::milliseconds(2700);
 
-/// Before the process would be killed, what is left is ended in order.
+/// Time before the kill at which the remaining requests are ended in an orderly
+/// way.
 constexpr Duration kStopMargin = std::chrono::milliseconds(500);
 
 Duration BootTime() {
@@ -114,7 +115,7 @@
                [this](AttemptId attempt, const ResponseHead& head, bool fresh) {
                  return node_.controller().OnAnswerHead(attempt, head, fresh);
                },
-           .on_part =
+           .on_chunk =
                [this](AttemptId attempt, std::string bytes) {
                  return node_.controller().OnAnswerPart(attempt,
                                                         std::move(bytes));
@@ -135,7 +136,7 @@
            .on_drained = [](CallerId) {},
            .on_gone = [](CallerId) {},
            .on_too_large = [](CallerId) {}}) {
-  WirePeers(peers_, node_, [this] { Settle(); });
+  WirePeers(peers_, node_, [this] { ExecuteActions(); });
 }
 
 ForwardDaemon::~ForwardDaemon() = default;
@@ -154,10 +155,10 @@
   if (node_.members().self().address.empty()) {
     node_.members().set_address(*peers);
   }
-  suspended_ = BootTime() - clock_.Now().time_since_epoch();
+  suspended_time_ = BootTime() - clock_.Now().time_since_epoch();
   loop_.OnSignal(SIGTERM, [this] { OnLeave(); });
   loop_.OnSignal(SIGINT, [this] { OnLeave(); });
-  // The settings are read at start only; a change of them must not end us.
+  // The settings are read at start only; SIGHUP must not end the process.
   loop_.OnSignal(SIGHUP, [this] { log_.Info("reload", {{"changed", "no"}}); });
   loop_.Every(std::chrono::milliseconds(kTickMilliseconds),
               [this] { OnTick(); });
@@ -171,7 +172,7 @@
       ready_file,
       {{"clients", *clients}, {"status", *status}, {"peers", *peers}});
   node_.Start();
-  Settle();
+  ExecuteActions();
   loop_.Run();
   log_.Info("stop", {{"instance", settings_.self.id.ToString()},
                      {"open", node_.controller().open()}});
@@ -187,24 +188,24 @@
   left_at_ = clock_.Now();
   clients_.set_leaving();
   node_.Leave();
-  Settle();
+  ExecuteActions();
 }
 
-void ForwardDaemon::NoticeFreeze() {
+void ForwardDaemon::CheckForFreeze() {
   const Duration suspended = BootTime() - clock_.Now().time_since_epoch();
-  if (suspended - suspended_ > kLeastSuspension) {
+  if (suspended - suspended_time_ > kMinSuspension) {
     node_.OnFreeze();
   }
-  suspended_ = suspended;
+  suspended_time_ = suspended;
 }
 
 void ForwardDaemon::OnTick() {
-  NoticeFreeze();
+  CheckForFreeze();
   clients_.Tick();
   upstream_.Tick();
   node_.Tick();
   peers_.Tick(clock_.Now());
-  Settle();
+  ExecuteActions();
   if (!node_.leaving()) {
     return;
   }
@@ -213,7 +214,7 @@
 
 void ForwardDaemon::ContinueLeaving() {
   const Duration since = clock_.Now() - left_at_;
-  if (since < std::min(kTakesNewTime, settings_.stop_time / 2)) {
+  if (since < std::min(kAcceptTimeAfterStop, settings_.stop_time / 2)) {
     return;
   }
   if (!std::exchange(closed_, true)) {
@@ -253,7 +254,7 @@
   status_.Handle(std::move(reply));
 }
 
-void ForwardDaemon::Settle() {
+void ForwardDaemon::ExecuteActions() {
   runner_.Run(node_.outbox(), [this](auto& action) {
     using T = std::decay_t<decltype(action)>;
     if constexpr (std::is_same_v<T, SendMessage> ||
--- a/lavenderkeel/io/forward_daemon.h
+++ b/lavenderkeel/io/forward_daemon.h
@@ -17,10 +17,10 @@
 
 namespace lavenderkeel {
 
-/// A forwarding entry's process: a ForwardNode with its sockets.
+/// The process of a forwarding entry: a ForwardNode with its sockets.
 class ForwardDaemon {
  public:
-  /// Builds the source once there is a client to read with.
+  /// Creates the source, which reads with the given client.
   using MakeSource = std::function<ForwardSource(HttpClient&)>;
 
   ForwardDaemon(ForwardSettings settings,
@@ -29,20 +29,20 @@
                 const EventLog& log);
   ~ForwardDaemon();
 
-  /// Binds, then runs until the graceful shutdown is over.
+  /// Binds the sockets, then runs until the graceful shutdown is complete.
   /// @return the exit status
   int Run(const std::string& ready_file);
 
  private:
-  /// Hands the controller's calls to the two ports.
+  /// Forwards the controller's calls to the client port and the upstream port.
   class Port;
 
   void OnTick();
   void OnStatusRequest(const HttpRequest& request);
   void OnLeave();
   void ContinueLeaving();
-  void Settle();
-  void NoticeFreeze();
+  void ExecuteActions();
+  void CheckForFreeze();
 
   ForwardSettings settings_;
   const EventLog& log_;
@@ -58,10 +58,10 @@
   HttpServer status_;
   ActionRunner runner_;
   TimePoint left_at_;
-  /// No new requests are taken.
+  /// True once new requests are no longer accepted.
   bool closed_ = false;
-  /// Boot time less steady time: what the machine spent suspended.
-  Duration suspended_{};
+  /// Boot time minus steady time: the time that the machine was suspended.
+  Duration suspended_time_{};
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/io/forward_settings.cc
+++ b/lavenderkeel/io/forward_settings.cc
@@ -16,7 +16,8 @@
 
 namespace {
 
-/// Seconds, which may have a fraction; what `target` has is the default.
+/// Reads a duration in seconds, which may have a fraction; `target` holds the
+/// default.
 void ReadSeconds(JsonReader& reader,
                  const std::string& name,
                  Duration& target) {
@@ -44,11 +45,11 @@
   uint64_t memory_mb = 0;
   ReadCount(limits, "memory_mb", memory_mb, 0);
   if (memory_mb > 0) {
-    // The same bytes stand up to twice in socket buffers beside the copy kept
-    // for a retry, and the process itself needs some 20 MB.
-    constexpr uint64_t kPartForBodies = 6;
+    // Socket buffers hold the same bytes up to twice, in addition to the copy
+    // kept for a retry, and the process itself needs about 20 MB.
+    constexpr uint64_t kBodyMemoryDivisor = 6;
     settings.node.controller.held_body_bytes =
-        (memory_mb << 20) / kPartForBodies;
+        (memory_mb << 20) / kBodyMemoryDivisor;
   }
   settings.self.processor_share =
       limits.Real("processor_share", settings.self.processor_share);
@@ -73,7 +74,8 @@
   bounds.RejectUnknown();
 }
 
-/// Rollouts are carried out where their bounds are given.
+/// Reads the bounds of rollouts. Rollouts are enabled only if their bounds are
+/// given.
 void ReadExposure(JsonReader& reader,
                   ForwardSettings& settings,
                   Faults& faults) {
--- a/lavenderkeel/io/forward_settings.h
+++ b/lavenderkeel/io/forward_settings.h
@@ -11,23 +11,23 @@
 
 namespace lavenderkeel {
 
-/// The settings of a forwarding entry.
+/// Settings of a forwarding entry.
 struct ForwardSettings {
   InstanceInfo self;
   std::string listen_clients;
-  /// Readiness and metrics.
+  /// Address for readiness checks and metrics.
   std::string listen_status;
   std::string listen_peers;
   std::string ready_path = "/readyz";
-  /// The platform's store.
+  /// Address of the platform's store.
   std::string store;
-  /// From the request to stop until the process is killed.
+  /// Time from the request to stop until the process is killed.
   Duration stop_time = std::chrono::seconds(8);
   LogLevel log_level = LogLevel::kInfo;
   ForwardNode::Options node;
 };
 
-/// Parses and checks a whole settings file.
+/// Parses and validates a whole settings file.
 ///
 /// @return kSettingsInvalid with every fault and its JSON path
 leaf::result<ForwardSettings> ParseForwardSettings(const std::string& text);
--- a/lavenderkeel/io/http_client.cc
+++ b/lavenderkeel/io/http_client.cc
@@ -121,7 +121,7 @@
   HttpResult result;
   if (request != nullptr) {
     result.status = evhttp_request_get_response_code(request);
-    // The library reports a connection that never came about as status 0.
+    // libevent reports a connection that was never established as status 0.
     result.kind = result.status == 0 ? HttpResult::Kind::kNotSent
                                      : HttpResult::Kind::kAnswered;
     if (result.status != 0) {
@@ -148,7 +148,7 @@
   if (found == pending_.end()) {
     return;
   }
-  // Freed later: this may be called from a hook of the call itself.
+  // Freed later, since a hook of the call itself may call this function.
   std::shared_ptr<Pending> ended = std::move(found->second);
   pending_.erase(found);
   ended->done = true;
--- a/lavenderkeel/io/http_client.h
+++ b/lavenderkeel/io/http_client.h
@@ -14,13 +14,13 @@
 
 namespace lavenderkeel {
 
-/// How a client call ended.
+/// Outcome of a client call.
 struct HttpResult {
   enum class Kind {
     kAnswered,
-    /// No connection came about, so the request was not sent.
+    /// No connection was established, so the request was not sent.
     kNotSent,
-    /// The connection broke or the answer did not come in time.
+    /// The connection broke, or the answer did not arrive in time.
     kNoAnswer,
   };
 
@@ -31,8 +31,8 @@
   std::string body;
 };
 
-/// Client calls over evhttp, each on a connection of its own: what hangs on a
-/// silent one does not hold up the next.
+/// HTTP client over evhttp. Each call has its own connection, so that calls to
+/// an unresponsive server don't delay others.
 class HttpClient {
  public:
   using CallId = uint64_t;
@@ -46,7 +46,7 @@
     HttpHeaders headers;
     std::string body;
     Duration timeout = std::chrono::seconds(5);
-    /// Set for a streamed answer; the result's body stays empty then.
+    /// Receives a streamed answer; the body of the result is empty then.
     OnData on_data;
     OnDone on_done;
   };
@@ -57,7 +57,7 @@
   HttpClient& operator=(const HttpClient&) = delete;
 
   CallId Start(Call call);
-  /// Drops the connection; neither hook is called any more.
+  /// Closes the connection; neither hook is called afterwards.
   void Cancel(CallId id);
 
  private:
--- a/lavenderkeel/io/http_server.cc
+++ b/lavenderkeel/io/http_server.cc
@@ -54,16 +54,16 @@
 struct HttpServer::Exchange {
   enum class Phase {
     kOpen,
-    /// The answer is handed over whole, the library still writes it.
+    /// The whole answer is passed to the library, which is still writing it.
     kFinished,
-    /// The connection is closed once the present event is handled.
+    /// The connection is closed once the current event is handled.
     kAborted,
   };
 
   ~Exchange() { StopWatching(); }
   void StopWatching() {
-    if (hangup != nullptr) {
-      event_free(std::exchange(hangup, nullptr));
+    if (close_event != nullptr) {
+      event_free(std::exchange(close_event, nullptr));
     }
   }
 
@@ -71,7 +71,7 @@
   CallerId id = 0;
   evhttp_request* request = nullptr;
   evhttp_connection* connection = nullptr;
-  event* hangup = nullptr;
+  event* close_event = nullptr;
   Phase phase = Phase::kOpen;
 };
 
@@ -80,8 +80,8 @@
       options_(options),
       hooks_(std::move(hooks)),
       http_(evhttp_new(loop.base())) {
-  // The library cuts off at twice the bound, so that up to there the caller
-  // gets our numbered refusal.
+  // libevent cuts off a body at twice the limit, so that up to there the caller
+  // gets a numbered result.
   evhttp_set_max_body_size(
       http_, static_cast<ev_ssize_t>(2 * options_.max_body_bytes));
   evhttp_set_max_headers_size(
@@ -139,22 +139,22 @@
         gone->server->OnClosed(gone->id);
       },
       exchange.get());
-  // While an answer is pending the library does not read, so it would not see
-  // the caller hang up; the hang-up itself is watched.
+  // libevent does not read while an answer is pending, so it would not notice
+  // that the caller closes the connection; a separate event watches for that.
   const int fd = bufferevent_getfd(
       evhttp_connection_get_bufferevent(exchange->connection));
-  // Else each token waits for the caller's delayed acknowledgement of the one
-  // before.
+  // Otherwise each token waits for the caller's delayed acknowledgement of the
+  // previous one.
   constexpr int kOn = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &kOn, sizeof(kOn));
-  exchange->hangup = event_new(
+  exchange->close_event = event_new(
       loop_.base(), fd, EV_CLOSED,
       [](evutil_socket_t, short, void* arg) {
         auto* gone = static_cast<Exchange*>(arg);
         evhttp_connection_free(gone->connection);
       },
       exchange.get());
-  event_add(exchange->hangup, nullptr);
+  event_add(exchange->close_event, nullptr);
   exchanges_[id] = std::move(exchange);
 
   const evhttp_uri* uri = evhttp_request_get_evhttp_uri(request);
@@ -178,7 +178,7 @@
   hooks_.on_request(read);
 }
 
-HttpServer::Exchange* HttpServer::Find(CallerId id) {
+HttpServer::Exchange* HttpServer::FindOpen(CallerId id) {
   const auto found = exchanges_.find(id);
   const bool usable = found != exchanges_.end() &&
                       found->second->phase == Exchange::Phase::kOpen;
@@ -194,9 +194,9 @@
   evhttp_request* request = found->second->request;
   exchanges_.erase(found);
   if (evhttp_request_get_connection(request) == nullptr) {
-    // Failure: the library takes a request that is not answered yet off a
-    // connection that breaks, and leaves it to its user. Symptom: each caller
-    // that hangs up in a stream costs the memory of its request for good.
+    // libevent detaches an unanswered request from a connection that breaks,
+    // and leaves it to its user. Without this, each caller that closes the
+    // connection during a stream would leak the memory of its request.
     evhttp_request_free(request);
   }
   if (open) {
@@ -222,9 +222,9 @@
 }
 
 void HttpServer::Finish(Exchange& exchange) {
-  // Failure: the process ends once all is answered, but the end of an answer
-  // is still in a buffer here. Symptom: an answer cut at its last events. The
-  // exchange counts as open until the library has written everything.
+  // The exchange counts as open until the library has written everything.
+  // Otherwise the process could end while the end of an answer is still in a
+  // buffer here, and the answer would lose its last events.
   exchange.phase = Exchange::Phase::kFinished;
   exchange.StopWatching();
   evhttp_request_set_on_complete_cb(
@@ -237,7 +237,7 @@
 }
 
 void HttpServer::Handle(ReplyWhole reply) {
-  Exchange* exchange = Find(reply.caller);
+  Exchange* exchange = FindOpen(reply.caller);
   if (exchange == nullptr) {
     return;
   }
@@ -251,14 +251,14 @@
 }
 
 void HttpServer::Handle(const ReplyHead& reply) {
-  if (Exchange* exchange = Find(reply.caller)) {
+  if (Exchange* exchange = FindOpen(reply.caller)) {
     AddHeaders(exchange->request, reply.headers);
     evhttp_send_reply_start(exchange->request, reply.status, nullptr);
   }
 }
 
 void HttpServer::Handle(const ReplyData& reply) {
-  Exchange* exchange = Find(reply.caller);
+  Exchange* exchange = FindOpen(reply.caller);
   if (exchange == nullptr) {
     return;
   }
@@ -277,7 +277,7 @@
 }
 
 void HttpServer::Handle(const ReplyEnd& reply) {
-  if (Exchange* exchange = Find(reply.caller)) {
+  if (Exchange* exchange = FindOpen(reply.caller)) {
     evhttp_request* request = exchange->request;
     Finish(*exchange);
     evhttp_send_reply_end(request);
@@ -285,16 +285,16 @@
 }
 
 void HttpServer::Handle(const ReplyAbort& reply) {
-  Exchange* exchange = Find(reply.caller);
+  Exchange* exchange = FindOpen(reply.caller);
   if (exchange == nullptr) {
     return;
   }
-  // Failure: the exchange is erased here and its connection freed a turn of the
-  // loop later. Symptom: the process ends by a segmentation fault under many
-  // aborts, since in between the library reports the last piece as written, to
-  // the erased exchange, or frees the connection by itself where the caller
-  // hangs up. The exchange stays for as long as the connection does, and
-  // whichever of the two comes first ends both.
+  // The exchange lives as long as its connection, which is freed in the next
+  // iteration of the event loop, and whichever of the two ends first ends both.
+  // If the exchange were erased here, the process would end by a segmentation
+  // fault under many aborts: in between, libevent reports the last chunk as
+  // written to the erased exchange, or frees the connection by itself when the
+  // caller closes it.
   exchange->phase = Exchange::Phase::kAborted;
   exchange->StopWatching();
   loop_.Defer([this, id = reply.caller] { CloseAborted(id); });
--- a/lavenderkeel/io/http_server.h
+++ b/lavenderkeel/io/http_server.h
@@ -17,7 +17,7 @@
 
 namespace lavenderkeel {
 
-/// A request as the HTTP library read it.
+/// A request as parsed by the HTTP library.
 struct HttpRequest {
   CallerId id = 0;
   std::string method;
@@ -27,14 +27,15 @@
   std::function<std::optional<std::string>(const char* name)> header;
 };
 
-/// HTTP/1.1 over evhttp.
+/// HTTP/1.1 server over evhttp.
 class HttpServer {
  public:
   struct Options {
-    /// Above this the request is refused before it is handed out.
+    /// A request with a larger body is rejected without a call of on_request.
     size_t max_body_bytes = size_t{4} << 20;
     size_t max_header_bytes = size_t{16} << 10;
-    /// Without a byte either way, a connection is closed after this.
+    /// Time without a byte in either direction after which a connection is
+    /// closed.
     int idle_seconds = 60;
   };
   using OnRequest = std::function<void(const HttpRequest&)>;
@@ -42,11 +43,11 @@
 
   struct Hooks {
     OnRequest on_request;
-    /// The caller's connection has taken all that was written.
+    /// Everything written so far has been sent to the caller's connection.
     OnCaller on_drained;
-    /// The caller went away before its answer ended.
+    /// The caller closed the connection before its answer ended.
     OnCaller on_gone;
-    /// The body is too large; the request is not handed out.
+    /// The body is too large; on_request is not called.
     OnCaller on_too_large;
   };
 
@@ -55,9 +56,9 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// @return the address bound, or nothing
+  /// @return the bound address, or nothing on failure
   std::optional<std::string> Listen(const std::string& address);
-  /// Takes no new connections.
+  /// Stops accepting connections.
   void StopListening();
 
   void Handle(ReplyWhole reply);
@@ -66,7 +67,7 @@
   void Handle(const ReplyEnd& reply);
   void Handle(const ReplyAbort& reply);
 
-  /// Exchanges whose answer has not left this process whole.
+  /// Returns the number of exchanges whose answer is not fully written.
   size_t open() const { return exchanges_.size(); }
 
  private:
@@ -74,14 +75,16 @@
 
   void OnHttp(evhttp_request* request);
   void OnClosed(CallerId id);
-  /// No more replies follow; the exchange stays until all is written.
+  /// Marks the answer as complete; the exchange stays until everything is
+  /// written.
   void Finish(Exchange& exchange);
-  /// Ends the exchange; its connection reports nothing more here.
-  /// @return the connection; null if the exchange has ended before
+  /// Ends the exchange and stops watching its connection.
+  /// @return the connection; null if the exchange has already ended
   evhttp_connection* Release(CallerId id);
-  /// Ends an aborted exchange with its connection, unless that broke before.
+  /// Ends an aborted exchange and its connection, unless the connection broke
+  /// before.
   void CloseAborted(CallerId id);
-  Exchange* Find(CallerId id);
+  Exchange* FindOpen(CallerId id);
 
   EventLoop& loop_;
   Options options_;
--- a/lavenderkeel/io/internal/listener.h
+++ b/lavenderkeel/io/internal/listener.h
@@ -11,10 +11,10 @@
 
 namespace lavenderkeel::internal {
 
-/// Listens at an address and hands each connection to a member function.
+/// Listens at an address and passes each accepted socket to a member function.
 ///
 /// @param backlog connections that may wait to be accepted
-/// @return null if the address can't be read or bound
+/// @return null if the address can't be parsed or bound
 template <typename Owner, void (Owner::*kAccept)(int socket)>
 evconnlistener* NewListener(event_base* base,
                             const std::string& text,
@@ -35,7 +35,7 @@
       reinterpret_cast<sockaddr*>(&storage), static_cast<int>(length));
 }
 
-/// Where it listens; nothing for null.
+/// Returns the bound address; nothing for null.
 inline std::optional<std::string> AddressOf(evconnlistener* listener) {
   return listener == nullptr
              ? std::nullopt
--- a/lavenderkeel/io/internal/settings_fields.cc
+++ b/lavenderkeel/io/internal/settings_fields.cc
@@ -33,10 +33,10 @@
 void ReadDuration(JsonReader& reader,
                   const std::string& name,
                   Duration& target,
-                  uint64_t least_ms) {
+                  uint64_t min_ms) {
   const uint64_t milliseconds = reader.Number(
       name, {.otherwise = static_cast<uint64_t>(ToMilliseconds(target)),
-             .least = least_ms,
+             .least = min_ms,
              .most = kDayMs});
   target = std::chrono::milliseconds(milliseconds);
 }
--- a/lavenderkeel/io/internal/settings_fields.h
+++ b/lavenderkeel/io/internal/settings_fields.h
@@ -12,22 +12,22 @@
 // Fields that several kinds of settings files share.
 namespace lavenderkeel::internal {
 
-/// A nested object; an empty one if it is missing.
+/// Returns a nested object, or an empty one if it is missing.
 const boost::json::value& ObjectOrEmpty(JsonReader& reader,
                                         const std::string& name);
 
-/// "IP:PORT"; empty if it is missing and not required.
+/// Reads "IP:PORT"; returns an empty text if it is missing and not required.
 std::string ReadAddress(JsonReader& reader,
                         const std::string& name,
                         bool required = true);
 
-/// Whole milliseconds; what `target` has is the default.
+/// Reads whole milliseconds; `target` holds the default.
 void ReadDuration(JsonReader& reader,
                   const std::string& name,
                   Duration& target,
-                  uint64_t least_ms = 1);
+                  uint64_t min_ms = 1);
 
-/// A whole number; what `target` has is the default.
+/// Reads a whole number; `target` holds the default.
 template <typename Number>
 void ReadCount(JsonReader& reader,
                const std::string& name,
@@ -40,7 +40,7 @@
                            .most = kMost}));
 }
 
-/// The field "level" of the object "log".
+/// Reads the field "level" of the object "log".
 LogLevel ReadLogLevel(JsonReader& log);
 
 std::vector<std::string> ReadSeeds(JsonReader& reader);
--- a/lavenderkeel/io/node_wiring.h
+++ b/lavenderkeel/io/node_wiring.h
@@ -9,32 +9,35 @@
 
 namespace lavenderkeel {
 
-/// Hands a port's events to an EntryNode or AgentNode.
+/// Passes the events of a PeerPort to a node.
 ///
-/// @param settle called after each event, to carry out what the node decided
+/// @param execute_actions called after each event, to execute what the node
+///     decided
 template <typename Node>
-void WirePeers(PeerPort& peers, Node& node, std::function<void()> settle) {
-  peers.signal_up().connect([&node, settle](LinkId link,
-                                            const InstanceInfo& peer,
-                                            const std::string& dialed) {
-    if (!node.OnLinkUp(link, peer, dialed) && !dialed.empty()) {
-      node.OnDialFailed(dialed);
-    }
-    settle();
-  });
+void WirePeers(PeerPort& peers,
+               Node& node,
+               std::function<void()> execute_actions) {
+  peers.signal_up().connect(
+      [&node, execute_actions](LinkId link, const InstanceInfo& peer,
+                               const std::string& dialed) {
+        if (!node.OnLinkUp(link, peer, dialed) && !dialed.empty()) {
+          node.OnDialFailed(dialed);
+        }
+        execute_actions();
+      });
   peers.signal_message().connect(
-      [&node, settle](LinkId link, Message& message) {
+      [&node, execute_actions](LinkId link, Message& message) {
         node.OnMessage(link, std::move(message));
-        settle();
+        execute_actions();
       });
-  peers.signal_down().connect([&node, settle](LinkId link) {
+  peers.signal_down().connect([&node, execute_actions](LinkId link) {
     node.OnLinkDown(link);
-    settle();
+    execute_actions();
   });
   peers.signal_dial_failed().connect(
-      [&node, settle](const std::string& address) {
+      [&node, execute_actions](const std::string& address) {
         node.OnDialFailed(address);
-        settle();
+        execute_actions();
       });
 }
 
--- a/lavenderkeel/io/peer_port.cc
+++ b/lavenderkeel/io/peer_port.cc
@@ -27,7 +27,7 @@
   /// Empty for an accepted connection.
   std::string dialed;
   bool greeted = false;
-  /// Set while frames are handed out; then freeing waits.
+  /// True once the connection is dropped; it is freed after the current event.
   bool dropped = false;
   TimePoint opened;
 };
@@ -54,7 +54,8 @@
 
 void PeerPort::Accept(int socket) {
   if (ungreeted_ >= options_.max_ungreeted) {
-    // Peers that connect and say nothing must not use up the descriptors.
+    // Peers that connect without a greeting must not exhaust the file
+    // descriptors.
     evutil_closesocket(socket);
     return;
   }
@@ -188,7 +189,7 @@
   if (found == connections_.end() || found->second->dropped) {
     return;
   }
-  // The node knows already; it hears no signal_down.
+  // The node itself closes the link, so signal_down is not emitted.
   Connection& connection = *found->second;
   ungreeted_ -= connection.greeted ? 0 : 1;
   connection.dropped = true;
--- a/lavenderkeel/io/peer_port.h
+++ b/lavenderkeel/io/peer_port.h
@@ -18,17 +18,18 @@
 
 namespace lavenderkeel {
 
-/// The framed TCP connections to other processes: listens, dials, greets.
+/// Framed TCP connections to other processes: listens, dials and exchanges
+/// greetings.
 class PeerPort {
  public:
   struct Options {
     Duration greeting_timeout = std::chrono::seconds(3);
-    /// Bytes that may wait to be written to one peer before it is dropped.
+    /// Unsent bytes to one peer above which its connection is dropped.
     size_t max_unsent_bytes = size_t{64} << 20;
     size_t max_ungreeted = 1024;
   };
 
-  /// @param self what this process says in its greeting
+  /// @param self identity that this process sends in its greeting
   PeerPort(EventLoop& loop,
            Options options,
            const InstanceInfo& self,
@@ -45,7 +46,8 @@
   /// Drops connections whose greeting is overdue.
   void Tick(TimePoint now);
 
-  /// Greetings are exchanged. The last argument is the address dialled.
+  /// Emitted once the greetings are exchanged. The last argument is the address
+  /// that was dialled.
   sigc::signal<void(LinkId, const InstanceInfo&, const std::string&)>&
   signal_up() {
     return signal_up_;
@@ -53,13 +55,13 @@
   sigc::signal<void(LinkId, Message&)>& signal_message() {
     return signal_message_;
   }
-  /// After signal_up only, and not after CloseLink.
+  /// Emitted only after signal_up, and not after CloseLink.
   sigc::signal<void(LinkId)>& signal_down() { return signal_down_; }
   sigc::signal<void(const std::string&)>& signal_dial_failed() {
     return signal_dial_failed_;
   }
 
-  /// Bytes that peers have not taken yet.
+  /// Returns the number of bytes not yet sent to peers.
   size_t unsent() const;
   uint64_t bytes_sent() const { return bytes_sent_; }
   uint64_t bytes_received() const { return bytes_received_; }
--- a/lavenderkeel/io/platform_client.cc
+++ b/lavenderkeel/io/platform_client.cc
@@ -6,7 +6,8 @@
 
 constexpr Duration kCallTimeout = std::chrono::seconds(2);
 
-/// ETags travel in quotes; inside they are bare versions.
+/// Removes the quotes that ETags have in HTTP; internally an ETag is a bare
+/// version.
 std::string Unquoted(const std::string& etag) {
   const bool quoted =
       etag.size() >= 2 && etag.front() == '"' && etag.back() == '"';
--- a/lavenderkeel/io/platform_client.h
+++ b/lavenderkeel/io/platform_client.h
@@ -10,7 +10,7 @@
 
 namespace lavenderkeel {
 
-/// Carries out PlatformCall actions over HTTP.
+/// Executes PlatformCall actions over HTTP.
 class PlatformClient {
  public:
   using OnReply = std::function<void(PlatformCallId, const PlatformReply&)>;
--- a/lavenderkeel/io/server_client.cc
+++ b/lavenderkeel/io/server_client.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// The gate watches for silence itself; this only ends what it forgot.
+/// Only a last resort: the gate itself detects streams without data.
 constexpr Duration kStreamTimeout = std::chrono::hours(12);
 constexpr Duration kServiceTimeout = std::chrono::minutes(10);
 constexpr Duration kCancelTimeout = std::chrono::seconds(3);
@@ -20,11 +20,11 @@
 ServerClient::ServerClient(HttpClient& http,
                            std::string address,
                            RunController& runs,
-                           std::function<void()> settle)
+                           std::function<void()> execute_actions)
     : http_(http),
       address_(std::move(address)),
       runs_(runs),
-      settle_(std::move(settle)) {}
+      execute_actions_(std::move(execute_actions)) {}
 
 void ServerClient::Handle(const ServerStart& start) {
   if (start.service) {
@@ -71,7 +71,7 @@
       OnEvent(run, stream, std::string_view(line).substr(kEventPrefix.size()));
     }
   }
-  settle_();
+  execute_actions_();
 }
 
 void ServerClient::OnEvent(RunId run, Stream& stream, std::string_view event) {
@@ -112,7 +112,7 @@
                            : not_sent ? ServerEnd::kUnreachable
                                       : ServerEnd::kBroken);
   }
-  settle_();
+  execute_actions_();
 }
 
 void ServerClient::CallService(const ServerStart& start) {
@@ -135,7 +135,7 @@
                                  ? ServerEnd::kUnreachable
                                  : ServerEnd::kBroken);
     }
-    settle_();
+    execute_actions_();
   };
   streams_[run].call = http_.Start(std::move(call));
 }
@@ -155,7 +155,7 @@
                .on_data = nullptr,
                .on_done = [this, run = cancel.run](const HttpResult&) {
                  runs_.OnServerCancelled(run);
-                 settle_();
+                 execute_actions_();
                }});
 }
 
--- a/lavenderkeel/io/server_client.h
+++ b/lavenderkeel/io/server_client.h
@@ -11,15 +11,15 @@
 
 namespace lavenderkeel {
 
-/// Carries out ServerStart, ServerResume and ServerCancel actions at one
-/// backend server over HTTP, and reads its event streams.
+/// Executes ServerStart, ServerResume and ServerCancel actions at one backend
+/// server over HTTP, and parses its event streams.
 class ServerClient {
  public:
-  /// @param settle called after events were handed on
+  /// @param execute_actions called after events are passed on
   ServerClient(HttpClient& http,
                std::string address,
                RunController& runs,
-               std::function<void()> settle);
+               std::function<void()> execute_actions);
 
   void Handle(const ServerStart& start);
   void Handle(const ServerResume& resume);
@@ -28,7 +28,7 @@
  private:
   struct Stream {
     HttpClient::CallId call = 0;
-    /// The part of a line that has come so far.
+    /// Received bytes of an incomplete line.
     std::string line;
     bool finished = false;
   };
@@ -43,7 +43,7 @@
   HttpClient& http_;
   std::string address_;
   RunController& runs_;
-  std::function<void()> settle_;
+  std::function<void()> execute_actions_;
   std::unordered_map<RunId, Stream> streams_;
 };
 
--- a/lavenderkeel/io/settings.cc
+++ b/lavenderkeel/io/settings.cc
@@ -40,9 +40,9 @@
                members.entry_heartbeat_period);
   ReadDuration(tuning, "heartbeat_timeout_ms", members.heartbeat_timeout);
   ReadDuration(tuning, "dial_longest_ms", members.dial.longest);
-  const Duration longest =
+  const Duration max_period =
       std::max(members.heartbeat_period, members.entry_heartbeat_period);
-  if (members.heartbeat_timeout < 2 * longest) {
+  if (members.heartbeat_timeout < 2 * max_period) {
     tuning.Fault("heartbeat_timeout_ms",
                  "must be at least twice the heartbeat periods");
   }
--- a/lavenderkeel/io/settings.h
+++ b/lavenderkeel/io/settings.h
@@ -12,13 +12,13 @@
 
 namespace lavenderkeel {
 
-/// The settings that entries and agents share.
+/// Settings that entries and agents share.
 struct CommonSettings {
   InstanceInfo self;
   std::string listen_peers;
   std::string platform;
   LogLevel log_level = LogLevel::kInfo;
-  /// Empty: standard output.
+  /// Path of the log; empty for standard output.
   std::string log_file;
 };
 
@@ -36,7 +36,7 @@
   AgentNode::Options node;
 };
 
-/// Parses and checks a whole settings file.
+/// Parses and validates a whole settings file.
 ///
 /// @return kSettingsInvalid with every fault and its JSON path
 leaf::result<EntrySettings> ParseEntrySettings(const std::string& text);
--- a/lavenderkeel/io/socket_options.h
+++ b/lavenderkeel/io/socket_options.h
@@ -7,26 +7,29 @@
 
 namespace lavenderkeel {
 
-/// Sends small writes at once and notices a peer that has vanished.
+/// Sets the options of a stream socket: small writes are sent immediately, and
+/// a vanished peer is detected.
 ///
-/// Failure: a connection goes silent for good, with no reset. Symptom: what was
-/// written is never acknowledged and the request on it hangs. Unacknowledged
-/// bytes end the connection by the user timeout, idle ones by probes.
+/// A connection may stop carrying data for good without a reset: nothing
+/// written is acknowledged any more, and the request on it would hang. The user
+/// timeout ends a connection with unacknowledged bytes, keepalive probes end an
+/// idle one.
 inline void SetStreamOptions(int socket) {
   constexpr int kOn = 1;
-  /// Longer than a burst of lost packets takes to be sent again, shorter than
-  /// the patience of most clients.
+  /// Longer than the retransmission of a burst of lost packets takes, shorter
+  /// than the timeouts of most clients.
   constexpr int kUserTimeoutMs = 4000;
-  constexpr int kProbeAfterSeconds = 3;
-  constexpr int kProbeEverySeconds = 1;
-  constexpr int kProbes = 3;
+  constexpr int kProbeIdleSeconds = 3;
+  constexpr int kProbeIntervalSeconds = 1;
+  constexpr int kProbeCount = 3;
   setsockopt(socket, IPPROTO_TCP, TCP_NODELAY, &kOn, sizeof(kOn));
   setsockopt(socket, SOL_SOCKET, SO_KEEPALIVE, &kOn, sizeof(kOn));
-  setsockopt(socket, IPPROTO_TCP, TCP_KEEPIDLE, &kProbeAfterSeconds,
-             sizeof(kProbeAfterSeconds));
-  setsockopt(socket, IPPROTO_TCP, TCP_KEEPINTVL, &kProbeEverySeconds,
-             sizeof(kProbeEverySeconds));
-  setsockopt(socket, IPPROTO_TCP, TCP_KEEPCNT, &kProbes, sizeof(kProbes));
+  setsockopt(socket, IPPROTO_TCP, TCP_KEEPIDLE, &kProbeIdleSeconds,
+             sizeof(kProbeIdleSeconds));
+  setsockopt(socket, IPPROTO_TCP, TCP_KEEPINTVL, &kProbeIntervalSeconds,
+             sizeof(kProbeIntervalSeconds));
+  setsockopt(socket, IPPROTO_TCP, TCP_KEEPCNT, &kProbeCount,
+             sizeof(kProbeCount));
   setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &kUserTimeoutMs,
              sizeof(kUserTimeoutMs));
 }
--- a/lavenderkeel/io/stdout_appender.cc
+++ b/lavenderkeel/io/stdout_appender.cc
@@ -11,8 +11,9 @@
 
 namespace {
 
-bool HasRoom(int file) {
-  // For a pipe: that PIPE_BUF bytes, more than a line, can be written at once.
+bool IsWritable(int file) {
+  // For a pipe, POLLOUT means that PIPE_BUF bytes, which is more than a line,
+  // can be written at once.
   pollfd state{.fd = file, .events = POLLOUT, .revents = 0};
   return poll(&state, 1, /*timeout=*/0) == 1 && (state.revents & POLLOUT) != 0;
 }
@@ -29,7 +30,7 @@
 }
 
 void StdoutAppender::Write(const std::string& line) {
-  if (!HasRoom(STDOUT_FILENO)) {
+  if (!IsWritable(STDOUT_FILENO)) {
     limiter_.CountDropped();
     return;
   }
@@ -40,7 +41,7 @@
   text += line;
   const ssize_t written = write(STDOUT_FILENO, text.data(), text.size());
   if (written < 0) {
-    // There is nowhere to report it but the next line that goes through.
+    // Only the next line that is written can report the loss.
     limiter_.CountDropped();
   }
 }
--- a/lavenderkeel/io/stdout_appender.h
+++ b/lavenderkeel/io/stdout_appender.h
@@ -8,10 +8,11 @@
 
 namespace lavenderkeel {
 
-/// Writes log lines to standard output, never waiting for its reader.
+/// Log appender for standard output that never waits for the reader.
 ///
-/// A line that the pipe has no room for, or that is over the limiter's rate, is
-/// left out; how many were is said with the next line that goes through.
+/// A line that doesn't fit into the pipe, or that exceeds the limiter's rate,
+/// is dropped; the next line that is written reports the number of dropped
+/// ones.
 class StdoutAppender final : public log4cplus::Appender {
  public:
   StdoutAppender() = default;
--- a/lavenderkeel/io/upstream_port.cc
+++ b/lavenderkeel/io/upstream_port.cc
@@ -19,7 +19,7 @@
 
 constexpr int kFirstFinalStatus = 200;
 
-/// The `timeout` of a Keep-Alive field, in whole seconds.
+/// Returns the `timeout` of the Keep-Alive field, which is in whole seconds.
 std::optional<Duration> KeepAliveTime(const ResponseHead& head) {
   const std::string* field = FindField(head.fields, "Keep-Alive");
   constexpr std::string_view kTimeout = "timeout=";
@@ -53,16 +53,17 @@
 
   UpstreamPort& port;
   ConnectionId id;
-  /// The incarnation of the server that it was made to.
+  /// Incarnation of the server that the connection was opened to.
   std::string server;
   bufferevent* events = nullptr;
   ResponseReader reader;
   AttemptId attempt = 0;
   bool connected = false;
-  /// No answer has come on it yet.
+  /// True until the first answer has arrived.
   bool fresh = true;
   bool head_taken = false;
-  /// The present message answers another request and is read past.
+  /// True if the current message is discarded, since it does not answer the
+  /// current request.
   bool skipping = false;
   TimePoint connecting_since;
   TimePoint idle_since;
@@ -84,7 +85,7 @@
     connection = Connect(sending);
   }
   if (connection == nullptr) {
-    // Reported later, since the controller is in the middle of sending.
+    // Reported later, since the controller is still in its call of Send().
     loop_.Defer([this, attempt] {
       hooks_.on_failed(attempt, AttemptFailure::kNotConnected);
     });
@@ -192,15 +193,15 @@
 void UpstreamPort::OnReadable(Connection& connection) {
   const ConnectionId id = connection.id;
   if (connection.attempt == 0) {
-    // Bytes that nobody asked for: what follows on it can't be trusted.
+    // Unsolicited bytes: later bytes of this connection can't be trusted.
     Close(id);
     return;
   }
-  while (ReadOn(connection)) {
+  while (ParseInput(connection)) {
   }
 }
 
-bool UpstreamPort::ReadOn(Connection& connection) {
+bool UpstreamPort::ParseInput(Connection& connection) {
   evbuffer* input = bufferevent_get_input(connection.events);
   const size_t length = evbuffer_get_length(input);
   if (length == 0) {
@@ -219,9 +220,9 @@
   if (reader.head_done() && !connection.head_taken && !TakeHead(connection)) {
     return false;
   }
-  if (std::string part = reader.TakeBody();
-      !part.empty() && !connection.skipping) {
-    if (!hooks_.on_part(connection.attempt, std::move(part))) {
+  if (std::string chunk = reader.TakeBody();
+      !chunk.empty() && !connection.skipping) {
+    if (!hooks_.on_chunk(connection.attempt, std::move(chunk))) {
       Close(id);
       return false;
     }
@@ -269,21 +270,23 @@
   const ResponseHead& head = connection.reader.head();
   evbuffer* input = bufferevent_get_input(connection.events);
   evbuffer* output = bufferevent_get_output(connection.events);
-  // A server may answer before it has read the whole request; the rest of it
-  // is still due then, so nothing else may be sent on this connection.
+  // A server may answer before it has read the whole request. The rest of the
+  // request is still to be sent then, so no other request may use this
+  // connection.
   const bool reusable =
       head.keep_alive && head.framing != BodyFraming::kUntilClose &&
       evbuffer_get_length(input) == 0 && evbuffer_get_length(output) == 0;
   attempts_.erase(attempt);
   if (reusable) {
-    constexpr Duration kMargin = std::chrono::seconds(1);
+    constexpr Duration kIdleTimeMargin = std::chrono::seconds(1);
     connection.attempt = 0;
     connection.fresh = false;
     connection.idle_since = clock_.Now();
     connection.idle_time = options_.idle_time;
     if (const std::optional<Duration> bound = KeepAliveTime(head)) {
-      connection.idle_time = std::min(
-          connection.idle_time, std::max(Duration::zero(), *bound - kMargin));
+      connection.idle_time =
+          std::min(connection.idle_time,
+                   std::max(Duration::zero(), *bound - kIdleTimeMargin));
     }
     idle_[connection.server].push_back(connection.id);
   } else {
@@ -320,7 +323,7 @@
       idle_.erase(idle);
     }
   }
-  // The object lives until the event that led here is over.
+  // The object is freed only after the current event.
   bufferevent_setcb(connection.events, nullptr, nullptr, nullptr, nullptr);
   bufferevent_free(std::exchange(connection.events, nullptr));
   auto dead =
--- a/lavenderkeel/io/upstream_port.h
+++ b/lavenderkeel/io/upstream_port.h
@@ -20,21 +20,22 @@
 
 namespace lavenderkeel {
 
-/// Connections to backend servers, one request at a time on each.
+/// Connections to backend servers, with one request at a time on each.
 ///
-/// An idle connection is kept only if nothing about it is in doubt: the answer
-/// ended exactly where its framing said, the request was written whole, and
-/// not a byte came after it.
+/// An idle connection is kept only if its state is certain: the answer ended
+/// exactly where its framing said, the request was written completely, and no
+/// byte followed the answer.
 class UpstreamPort {
  public:
   struct Options {
-    /// A server that has not accepted by then is tried elsewhere. Twice the
-    /// longest round trip and a lost packet sent again.
+    /// A request whose connection is not accepted within this time is tried at
+    /// another server. Twice the longest round trip plus the retransmission of
+    /// a lost packet.
     Duration connect_timeout = std::chrono::milliseconds(400);
     /// Idle connections are closed after this time, or a second before the
-    /// server says that it would.
+    /// timeout that the server announces.
     Duration idle_time = std::chrono::seconds(8);
-    /// Bounds on a server's answer.
+    /// Limits on a server's answer.
     ReadLimits answer = {.head_bytes = size_t{32} << 10,
                          .body_bytes = uint64_t{64} << 20};
   };
@@ -44,8 +45,8 @@
                                                  const ResponseHead&,
                                                  bool fresh)>
         on_head;
-    /// False if the attempt is not wanted any more.
-    std::function<bool(AttemptId, std::string bytes)> on_part;
+    /// Returns false if the attempt is no longer wanted.
+    std::function<bool(AttemptId, std::string bytes)> on_chunk;
     std::function<void(AttemptId)> on_end;
     std::function<void(AttemptId, AttemptFailure)> on_failed;
   };
@@ -60,7 +61,8 @@
 
   void Send(AttemptId attempt, const ForwardPort::Sending& sending);
   void Cancel(AttemptId attempt);
-  /// Fails overdue connects and closes what is idle for too long.
+  /// Fails overdue connection attempts and closes connections that are idle for
+  /// too long.
   void Tick();
 
   uint64_t connects() const { return connects_; }
@@ -73,8 +75,9 @@
   Connection* TakeIdle(const std::string& server, Duration reuse_within);
   Connection* Connect(const ForwardPort::Sending& sending);
   void OnReadable(Connection& connection);
-  /// False once the connection is gone or needs more bytes.
-  bool ReadOn(Connection& connection);
+  /// Parses received bytes.
+  /// @return false once the connection is closed or needs more bytes
+  bool ParseInput(Connection& connection);
   bool TakeHead(Connection& connection);
   void OnComplete(Connection& connection);
   void OnEvent(Connection& connection, short what);
@@ -88,7 +91,7 @@
   ConnectionId last_ = 0;
   std::unordered_map<ConnectionId, std::unique_ptr<Connection>> connections_;
   std::unordered_map<AttemptId, ConnectionId> attempts_;
-  /// By the server's incarnation, the latest used last.
+  /// By the server's incarnation, the most recently used last.
   std::map<std::string, std::vector<ConnectionId>> idle_;
   uint64_t connects_ = 0;
   uint64_t reuses_ = 0;
--- a/test/io/http_client_test.cc
+++ b/test/io/http_client_test.cc
@@ -28,9 +28,9 @@
 
 }  // namespace
 
-// "Not sent" becomes "not run" for a caller, so it may be said only where no
-// connection came about. A server that takes the request and closes without a
-// word may have run it.
+// Guards against reporting a request as "not run" that may have run: only a
+// request without a connection counts as not sent, since a server that accepts
+// the request and closes without an answer may have run it.
 BOOST_AUTO_TEST_CASE(OnlyRefusedConnectionsCountAsNotSent) {
   EventLoop loop;
   sockaddr_storage storage{};
--- a/test/io/http_server_test.cc
+++ b/test/io/http_server_test.cc
@@ -17,10 +17,10 @@
 namespace {
 
 constexpr std::string_view kGet = "GET / HTTP/1.1\r\nHost: x\r\n\r\n";
-/// More than a socket takes at once.
+/// More than a socket buffer takes at once.
 constexpr size_t kLargeBytes = size_t{8} << 20;
 
-/// A caller with one connection, which keeps what it got.
+/// Caller with one connection, which keeps the bytes that it receives.
 class RawCaller {
  public:
   RawCaller(EventLoop& loop, const std::string& address)
@@ -53,8 +53,8 @@
   void Send(std::string_view bytes) {
     bufferevent_write(events_, bytes.data(), bytes.size());
   }
-  /// Goes away without reading on.
-  void HangUp() {
+  /// Closes the connection without reading further.
+  void CloseAbruptly() {
     shutdown(bufferevent_getfd(events_), SHUT_RDWR);
     bufferevent_disable(events_, EV_READ | EV_WRITE);
   }
@@ -74,7 +74,7 @@
   bool closed_ = false;
 };
 
-/// A server whose answers a test writes by hand.
+/// Server whose answers the test writes itself.
 class ServerHarness {
  public:
   ServerHarness()
@@ -93,24 +93,25 @@
     loop_.Every(std::chrono::milliseconds(1), [this] { loop_.Stop(); });
   }
 
-  /// Turns the loop until the condition holds; false after many turns.
-  bool Turn(const std::function<bool()>& condition) {
-    constexpr int kMostTurns = 20'000;
-    for (int i = 0; i < kMostTurns && !condition(); ++i) {
+  /// Runs the event loop until the condition holds; returns false after many
+  /// iterations.
+  bool RunUntil(const std::function<bool()>& condition) {
+    constexpr int kMaxIterations = 20'000;
+    for (int i = 0; i < kMaxIterations && !condition(); ++i) {
       loop_.Run();
     }
     return condition();
   }
-  void Turns(int count) {
+  void RunIterations(int count) {
     for (int i = 0; i < count; ++i) {
       loop_.Run();
     }
   }
 
-  /// Answers the caller's request with more than its socket takes, and does in
-  /// the same turn what the test asks for; then turns on until the exchange has
-  /// ended and for a few turns more.
-  /// @return whether it has ended
+  /// Answers the caller's request with more than its socket takes and calls
+  /// `then` in the same iteration of the event loop; then runs the loop until
+  /// the exchange has ended, and for a few more iterations.
+  /// @return whether the exchange has ended
   bool StreamThen(RawCaller& to, const std::function<void(CallerId)>& then) {
     on_request = [this, &then](CallerId id) {
       server_.Handle(ReplyHead{.caller = id, .status = 200});
@@ -120,8 +121,8 @@
     };
     to.Send(kGet);
     const bool ended =
-        Turn([this] { return requests == 1 && server_.open() == 0; });
-    Turns(3);
+        RunUntil([this] { return requests == 1 && server_.open() == 0; });
+    RunIterations(3);
     return ended;
   }
 
@@ -143,11 +144,12 @@
 
 }  // namespace
 
-// A caller's stream is broken off while its last piece is still being written:
-// lookups that give way to urgent work end so, many at a time. The library
-// reports the piece as written one turn of the loop later; nobody may be told
-// of it, since the exchange is over, and the process goes on.
-BOOST_AUTO_TEST_CASE(AbortWhileAPieceIsBeingWritten) {
+// Guards against a use of a freed exchange when a stream is aborted while its
+// last chunk is being written, as many lookups at a time are when they are
+// preempted by urgent work. libevent reports the chunk as written one iteration
+// of the loop later; this must not be reported to anyone, since the exchange is
+// over, and the process continues.
+BOOST_AUTO_TEST_CASE(AbortWhileAChunkIsBeingWritten) {
   ServerHarness harness;
   harness.on_request = [&](CallerId caller) {
     harness.server().Handle(ReplyHead{.caller = caller, .status = 200});
@@ -156,53 +158,55 @@
   };
   RawCaller caller(harness.loop(), harness.address());
   caller.Send(kGet);
-  BOOST_TEST(harness.Turn([&] { return caller.closed(); }));
-  harness.Turns(3);
+  BOOST_TEST(harness.RunUntil([&] { return caller.closed(); }));
+  harness.RunIterations(3);
   BOOST_TEST(harness.drained == 0);
   BOOST_TEST(harness.gone == 0);
   BOOST_TEST(harness.server().open() == 0U);
   BOOST_TEST(caller.received().find("0\r\n\r\n") == std::string::npos);
 }
 
-// The caller hangs up in the very turn in which its stream is broken off. The
-// library frees the connection by itself; it may not be freed a second time,
-// and the caller is not reported as gone after its answer was ended.
-BOOST_AUTO_TEST_CASE(AbortWhileTheCallerHangsUp) {
+// Guards against freeing a connection twice when the caller closes it in the
+// same iteration in which its stream is aborted: libevent frees the connection
+// by itself. The caller is not reported as gone after its answer has ended.
+BOOST_AUTO_TEST_CASE(AbortWhileTheCallerCloses) {
   ServerHarness harness;
   RawCaller caller(harness.loop(), harness.address());
   BOOST_TEST(harness.StreamThen(caller, [&](CallerId id) {
-    caller.HangUp();
+    caller.CloseAbruptly();
     harness.server().Handle(ReplyAbort{.caller = id});
   }));
   BOOST_TEST(harness.gone == 0);
 }
 
-// A stream ends with its last piece unwritten, and the caller goes away before
-// it has read it. The exchange ends once; the caller was answered as far as
-// this process is concerned, so nobody is told that it went.
-BOOST_AUTO_TEST_CASE(CallerLeavesBeforeTheLastPieceIsWritten) {
+// Guards against ending an exchange twice when the caller closes its connection
+// before it has read the last chunk of a complete answer. The caller counts as
+// answered, so it is not reported as gone.
+BOOST_AUTO_TEST_CASE(CallerClosesBeforeTheLastChunkIsWritten) {
   ServerHarness harness;
   RawCaller caller(harness.loop(), harness.address());
   BOOST_TEST(harness.StreamThen(caller, [&](CallerId id) {
     harness.server().Handle(ReplyEnd{.caller = id});
-    caller.HangUp();
+    caller.CloseAbruptly();
   }));
   BOOST_TEST(harness.gone == 0);
   BOOST_TEST(harness.drained == 0);
 }
 
-// A caller hangs up in the middle of its stream, while pieces wait to be
-// written to it. It is reported as gone, once. The library hands the request
-// back in that case; the sanitizers report it if nobody frees it.
-BOOST_AUTO_TEST_CASE(CallerLeavesInTheMiddleOfItsStream) {
+// Guards against a leaked request when a caller closes its connection during
+// its stream, while chunks wait to be written. libevent returns the request to
+// its user, and the sanitizers report it if it is not freed. The caller is
+// reported as gone once.
+BOOST_AUTO_TEST_CASE(CallerClosesDuringItsStream) {
   ServerHarness harness;
   RawCaller caller(harness.loop(), harness.address());
-  BOOST_TEST(harness.StreamThen(caller, [&](CallerId) { caller.HangUp(); }));
+  BOOST_TEST(
+      harness.StreamThen(caller, [&](CallerId) { caller.CloseAbruptly(); }));
   BOOST_TEST(harness.gone == 1);
 }
 
-// Two requests on one connection: what the first left behind at the library
-// doesn't reach into the second.
+// Guards against state that libevent keeps from the first request of a
+// connection and that affects the second.
 BOOST_AUTO_TEST_CASE(NextRequestOfAConnectionStartsAnew) {
   ServerHarness harness;
   harness.on_request = [&](CallerId id) {
@@ -212,10 +216,10 @@
   };
   RawCaller caller(harness.loop(), harness.address());
   caller.Send(kGet);
-  BOOST_TEST(harness.Turn(
+  BOOST_TEST(harness.RunUntil(
       [&] { return harness.requests == 1 && harness.server().open() == 0; }));
   caller.Send(kGet);
-  BOOST_TEST(harness.Turn(
+  BOOST_TEST(harness.RunUntil(
       [&] { return harness.requests == 2 && harness.server().open() == 0; }));
   BOOST_TEST(!caller.closed());
 }
--- a/test/io/settings_test.cc
+++ b/test/io/settings_test.cc
@@ -4,7 +4,7 @@
 
 namespace lavenderkeel {
 
-BOOST_AUTO_TEST_CASE(FaultsOfSettingsAreNamedWithTheirPath) {
+BOOST_AUTO_TEST_CASE(FaultsOfSettingsNameTheirPath) {
   const auto parsed = Catch([] {
     return ParseEntrySettings(R"({
       "instance": "", "listen": {"callers": "localhost:80"},
