--- a/Makefile
+++ b/Makefile
@@ -29,10 +29,10 @@
 	$(call build_in,$(BUILD)-sanitized,-DLAVENDERKEEL_SANITIZE=ON -DCMAKE_BUILD_TYPE=Debug)
 	@./scripts/run-tests $(BUILD)-sanitized
 
-# Long fuzzing from a seed; a failure prints its steps and how to repeat it.
+# Long fuzzing from a seed; a failure prints its steps and how to reproduce it.
 fuzz: build
 	@RC_PARAMS="seed=$(SEED) max_success=$(RUNS) max_size=$(STEPS)" $(BUILD)/fuzz_test
 
-# Fault plans over the real programs, from a seed; see test/soak.
+# Fault plans run against the real programs, from a seed; see test/soak.
 soak: build
 	@$(BUILD)/soak $(SEED) $(RUNS) timed
--- a/bench/fleet.cc
+++ b/bench/fleet.cc
@@ -1,7 +1,9 @@
-// A fleet of real processes on loopback at rest: control bytes, processor time
-// and memory per daemon, and how long a preset switch takes to be in force at
-// every entry, also with the platform down right after acceptance.
-// Use: fleet ENTRIES AGENTS. JSON on standard output; stops by itself.
+// Measures an idle fleet of real processes on loopback: control bytes,
+// processor time and memory per daemon, and the time until a preset switch is
+// in force at every entry, also with an outage of the platform right after
+// acceptance.
+// Usage: fleet ENTRIES AGENTS. Prints JSON on standard output and ends by
+// itself.
 #include <unistd.h>
 
 #include <boost/json.hpp>
@@ -20,7 +22,7 @@
 namespace json = boost::json;
 using test::Cluster;
 
-constexpr Duration kRest = std::chrono::seconds(20);
+constexpr Duration kIdleTime = std::chrono::seconds(20);
 
 double MetricOf(const std::string& text, const std::string& name) {
   const size_t position = text.find("lavenderkeel_" + name + " ");
@@ -29,7 +31,7 @@
              : std::atof(text.c_str() + position + name.size() + 14);
 }
 
-/// Processor time in microseconds, and memory in bytes.
+/// Processor time in microseconds, memory and peer traffic in bytes.
 struct Usage {
   double microseconds = 0;
   double bytes = 0;
@@ -54,7 +56,7 @@
   double resident = 0;
   double shared = 0;
   rollup >> pages >> resident >> shared;
-  // Private memory: what is shared is the program text.
+  // Private memory, without the shared program text.
   usage.bytes =
       (resident - shared) * static_cast<double>(sysconf(_SC_PAGESIZE));
   return usage;
@@ -69,12 +71,12 @@
   return usage;
 }
 
-void Rest(Cluster& cluster) {
-  const TimePoint end = SystemClock().Now() + kRest;
+void StayIdle(Cluster& cluster) {
+  const TimePoint end = SystemClock().Now() + kIdleTime;
   cluster.Wait([end] { return SystemClock().Now() >= end; });
 }
 
-/// Milliseconds until every entry has the version.
+/// Returns the milliseconds until every entry has the new version.
 double SwitchTime(Cluster& cluster,
                   size_t entries,
                   const std::string& preset,
@@ -94,14 +96,14 @@
 
 json::object MeasureFleet(size_t entries, size_t agents) {
   Cluster cluster({.entries = entries, .agents = agents});
-  Rest(cluster);
+  StayIdle(cluster);
   std::vector<Usage> before;
   for (size_t i = 0; i < entries; ++i) {
     before.push_back(EntryUsage(cluster, i));
   }
   const Usage agent_before = UsageOf(cluster, "agent-0");
-  Rest(cluster);
-  const double seconds = std::chrono::duration<double>(kRest).count();
+  StayIdle(cluster);
+  const double seconds = std::chrono::duration<double>(kIdleTime).count();
   Usage sum;
   for (size_t i = 0; i < entries; ++i) {
     const Usage after = EntryUsage(cluster, i);
@@ -132,7 +134,7 @@
 
 int main(int argc, char** argv) {
   if (argc != 3) {
-    std::cerr << "use: fleet ENTRIES AGENTS\n";
+    std::cerr << "usage: fleet ENTRIES AGENTS\n";
     return 2;
   }
   std::cout << boost::json::serialize(lavenderkeel::bench::MeasureFleet(
--- a/bench/path_bench.cc
+++ b/bench/path_bench.cc
@@ -1,6 +1,7 @@
-// The path's added latency to the first token against talking straight to the
-// engine stand-in, in one run, and requests a second through one entry and one
-// agent. Real processes on loopback. JSON on standard output.
+// Measures in one run the latency to the first token through an entry and an
+// agent, compared with calling the engine stand-in directly, and the requests
+// per second through one entry and one agent. Real processes on loopback.
+// Prints JSON on standard output.
 #include <algorithm>
 #include <boost/json.hpp>
 #include <iostream>
@@ -17,16 +18,17 @@
 using test::Cluster;
 
 constexpr int kSamples = 300;
-constexpr int kAtOnce = 32;
+constexpr int kMaxInFlight = 32;
 constexpr int kRequests = 2000;
 
 double Microseconds(Duration duration) {
   return static_cast<double>(duration.count());
 }
 
-/// Time to the first bytes of a stream.
-Duration FirstToken(Cluster& cluster, bool straight, int number) {
-  // At a random moment of the stand-in's steps, or both lock into a phase.
+/// Returns the time to the first bytes of a stream.
+Duration FirstToken(Cluster& cluster, bool direct, int number) {
+  // Starts at a random moment of the stand-in's steps; otherwise the two could
+  // lock into a fixed phase.
   static std::mt19937_64 random(1);
   const TimePoint start =
       SystemClock().Now() + Duration(static_cast<int64_t>(random() % 7000));
@@ -35,7 +37,7 @@
   Duration first{};
   const TimePoint begin = SystemClock().Now();
   HttpClient::Call call{
-      .address = straight ? cluster.Engine(0) : cluster.Entry(0),
+      .address = direct ? cluster.Engine(0) : cluster.Entry(0),
       .method = "POST",
       .path = "/v1/completions",
       .headers = {{"Authorization", "Bearer board-key"},
@@ -69,7 +71,7 @@
   cluster.Wait([&] {
     done += static_cast<int>(
         std::erase_if(open, [](const auto& e) { return e->done; }));
-    while (sent < kRequests && open.size() < kAtOnce) {
+    while (sent < kRequests && open.size() < kMaxInFlight) {
       open.push_back(cluster.Ask(0, "", "check", 1));
       ++sent;
     }
@@ -84,18 +86,18 @@
                    .agents = 1,
                    .step_ms = 1,
                    .agent_tuning = R"("first_in_flight": 64)"});
-  std::vector<Duration> straight;
+  std::vector<Duration> direct;
   std::vector<Duration> path;
   for (int i = 0; i < kSamples; ++i) {
-    // In turn, so that both see the same machine.
-    straight.push_back(FirstToken(cluster, true, i));
+    // Alternates, so that both measurements see the same state of the machine.
+    direct.push_back(FirstToken(cluster, true, i));
     path.push_back(FirstToken(cluster, false, i));
   }
   return {{"samples", kSamples},
-          {"straight", Percentiles(straight)},
+          {"straight", Percentiles(direct)},
           {"path", Percentiles(path)},
           {"requests_per_second", Throughput(cluster)},
-          {"at_once", kAtOnce}};
+          {"at_once", kMaxInFlight}};
 }
 
 }  // namespace
--- a/bench/slope.h
+++ b/bench/slope.h
@@ -7,22 +7,22 @@
 
 namespace lavenderkeel::bench {
 
-/// A quantity measured at several sizes, with the line fitted through it.
+/// A quantity measured at several sizes, and the line fitted to it.
 struct Slope {
   std::string name;
-  /// Of what the size counts, and of the value.
+  /// Units of the sizes and of the values.
   std::string per;
   std::string unit;
   std::vector<double> sizes;
   std::vector<double> values;
   double slope = 0;
   double intercept = 0;
-  /// Root of the mean squared distance from the line, as a share of the
+  /// Root of the mean squared distance from the line, as a fraction of the
   /// largest value.
   double residual = 0;
 };
 
-/// Least squares.
+/// Fits the line by least squares.
 inline void Fit(Slope& line) {
   const auto count = static_cast<double>(line.sizes.size());
   double sum_x = 0;
--- a/bench/slopes.cc
+++ b/bench/slopes.cc
@@ -1,6 +1,7 @@
-// Measures how state, messages, bytes, processor time and memory grow with the
-// sizes that a fleet has, on the daemons' own components. JSON on standard
-// output; scripts/capacity-tables turns it into docs/CAPACITY.md's tables.
+// Measures how state, messages, bytes, processor time and memory of the
+// daemons' components grow with the sizes of a fleet. Prints JSON on standard
+// output, which scripts/capacity-tables turns into the tables of
+// docs/CAPACITY.md.
 #include <malloc.h>
 #include <sys/resource.h>
 
@@ -28,7 +29,7 @@
   return static_cast<double>(mallinfo2().uordblks);
 }
 
-/// User time of this process, in microseconds.
+/// Returns the user time of this process in microseconds.
 double UserMicroseconds() {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
@@ -54,7 +55,7 @@
   return line;
 }
 
-std::vector<RequestKey> Keys(size_t count) {
+std::vector<RequestKey> MakeKeys(size_t count) {
   std::mt19937_64 random(1);
   std::vector<RequestKey> keys;
   keys.reserve(count);
@@ -79,7 +80,7 @@
 double ClaimBytes(size_t count) {
   const VirtualClock clock;
   ClaimTable table({}, clock, [](const RequestKey&) { return true; });
-  const std::vector<RequestKey> keys = Keys(count);
+  const std::vector<RequestKey> keys = MakeKeys(count);
   const double before = HeapBytes();
   for (const RequestKey& key : keys) {
     table.Request(key, SampleClaim(), {});
@@ -90,7 +91,7 @@
 double ClaimTime(size_t count) {
   const VirtualClock clock;
   ClaimTable table({}, clock, [](const RequestKey&) { return true; });
-  const std::vector<RequestKey> keys = Keys(count);
+  const std::vector<RequestKey> keys = MakeKeys(count);
   const double before = UserMicroseconds();
   for (const RequestKey& key : keys) {
     ClaimRequest request;
@@ -105,10 +106,11 @@
   return UserMicroseconds() - before;
 }
 
-/// What a claim of a request sends, at both holders and back.
+/// Returns the bytes sent for the claims of `count` requests, to both holders
+/// and back.
 double ClaimWireBytes(size_t count) {
   size_t bytes = 0;
-  for (const RequestKey& key : Keys(count)) {
+  for (const RequestKey& key : MakeKeys(count)) {
     ClaimRequest request;
     request.key = ToWire(key);
     PutClaim(SampleClaim(), request);
@@ -137,7 +139,7 @@
   return ToJson(document);
 }
 
-/// A store with a configuration of so many teams in force.
+/// Store with a configuration of the given number of teams in force.
 struct LoadedStore {
   EventLog log;
   ConfigStore store{log};
@@ -200,7 +202,8 @@
   return (UserMicroseconds() - before) / kChanges;
 }
 
-/// Bytes that one changed team sends to one entry: the head and a shard.
+/// Returns the bytes that one changed team sends to one entry: the head and a
+/// shard.
 double ChangeBytes(size_t teams) {
   const LoadedStore loaded(teams);
   ConfigHead head = loaded.head;
@@ -225,15 +228,15 @@
   return reserve;
 }
 
-/// An agent with one entry linked.
-struct LoneAgent {
+/// Agent with a link to one entry.
+struct SingleAgent {
   VirtualClock clock;
   EventLog log;
   Metrics metrics;
   AgentNode node{
       {}, {.id = {"agent-1", 1}, .role = Role::kAgent}, clock, 1, log, metrics};
 
-  LoneAgent() {
+  SingleAgent() {
     node.Start("a:1");
     node.OnLinkUp(1, {.id = {"entry-1", 1}, .address = "e:1"}, "");
     node.outbox().Take();
@@ -241,8 +244,8 @@
 };
 
 double ReservationBytes(size_t count) {
-  LoneAgent agent;
-  const std::vector<RequestKey> keys = Keys(count);
+  SingleAgent agent;
+  const std::vector<RequestKey> keys = MakeKeys(count);
   const double before = HeapBytes();
   for (const RequestKey& key : keys) {
     agent.node.OnMessage(1, SampleReserve(key));
@@ -252,8 +255,8 @@
 }
 
 double ReservationTime(size_t count) {
-  LoneAgent agent;
-  const std::vector<RequestKey> keys = Keys(count);
+  SingleAgent agent;
+  const std::vector<RequestKey> keys = MakeKeys(count);
   const double before = UserMicroseconds();
   for (const RequestKey& key : keys) {
     agent.node.OnMessage(1, SampleReserve(key));
@@ -269,7 +272,7 @@
 
 double RememberedKeyBytes(size_t count) {
   RunTable table({});
-  const std::vector<RequestKey> keys = Keys(count);
+  const std::vector<RequestKey> keys = MakeKeys(count);
   const double before = HeapBytes();
   for (const RequestKey& key : keys) {
     Run& run = table.Add(key, TimePoint());
@@ -281,11 +284,11 @@
   return HeapBytes() - before;
 }
 
-enum class Fleet { kBytes, kMessages, kTime, kCalls };
+enum class FleetQuantity { kBytes, kMessages, kTime, kCalls };
 
-/// A fleet at rest for a minute of virtual time; per second and entry, or for
-/// the whole platform.
-double AtRest(size_t entries, size_t agents, Fleet what) {
+/// Returns a quantity of an idle fleet over a minute of virtual time, per
+/// second and entry, or for the whole platform.
+double MeasureIdleFleet(size_t entries, size_t agents, FleetQuantity quantity) {
   World world({.entries = entries, .agents = agents});
   constexpr double kSeconds = 60;
   const uint64_t bytes = world.bytes_sent(0);
@@ -293,24 +296,31 @@
   const uint64_t calls = world.platform_calls();
   const double before = UserMicroseconds();
   world.RunFor(std::chrono::seconds(static_cast<int>(kSeconds)));
-  switch (what) {
-    case Fleet::kBytes:
+  switch (quantity) {
+    case FleetQuantity::kBytes:
       return static_cast<double>(world.bytes_sent(0) - bytes) / kSeconds;
-    case Fleet::kMessages:
+    case FleetQuantity::kMessages:
       return static_cast<double>(world.messages_sent(0) - messages) / kSeconds;
-    case Fleet::kCalls:
+    case FleetQuantity::kCalls:
       return static_cast<double>(world.platform_calls() - calls) / kSeconds;
-    case Fleet::kTime:
+    case FleetQuantity::kTime:
       return (UserMicroseconds() - before) / kSeconds /
              static_cast<double>(entries + agents);
   }
   return 0;
 }
 
-enum class Work { kEntryBytes, kAgentBytes, kMessages, kTime, kMemory };
+enum class RequestQuantity {
+  kEntryBytes,
+  kAgentBytes,
+  kMessages,
+  kTime,
+  kMemory
+};
 
-/// So many checks of ten tokens through one entry and two agents.
-double Requests(size_t count, Work what) {
+/// Returns a quantity of `count` checks of ten tokens through one entry and two
+/// agents.
+double MeasureRequests(size_t count, RequestQuantity quantity) {
   World world({.entries = 1, .agents = 2});
   world.RunFor(std::chrono::seconds(1));
   const uint64_t entry_bytes = world.bytes_sent(0);
@@ -322,19 +332,19 @@
   for (size_t i = 0; i < count; ++i) {
     world.Submit(0, world.NewKey(), "r" + std::to_string(i) + "x", false, 10);
   }
-  if (what == Work::kMemory) {
+  if (quantity == RequestQuantity::kMemory) {
     world.RunFor(std::chrono::milliseconds(20));
     return HeapBytes() - heap;
   }
   world.RunUntil([&] { return world.oracle().open() == 0; },
                  std::chrono::hours(1));
-  switch (what) {
-    case Work::kEntryBytes:
+  switch (quantity) {
+    case RequestQuantity::kEntryBytes:
       return static_cast<double>(world.bytes_sent(0) - entry_bytes);
-    case Work::kAgentBytes:
+    case RequestQuantity::kAgentBytes:
       return static_cast<double>(world.bytes_sent(1) + world.bytes_sent(2) -
                                  agent_bytes);
-    case Work::kMessages:
+    case RequestQuantity::kMessages:
       return static_cast<double>(world.messages_sent(0) +
                                  world.messages_sent(1) +
                                  world.messages_sent(2) - messages);
@@ -357,8 +367,8 @@
     }
     return static_cast<double>(world.platform_calls() - before);
   };
-  const double quiet = calls_of(0);
-  return calls_of(starts) - quiet;
+  const double calls_without_starts = calls_of(0);
+  return calls_of(starts) - calls_without_starts;
 }
 
 json::object ToJson(const Slope& line) {
@@ -394,26 +404,38 @@
                   ReservationTime));
   add(MeasureLine("remembered_key_memory", "key", "B", many,
                   RememberedKeyBytes));
-  add(MeasureLine("entry_link_bytes", "entry", "B/s", few,
-                  [](size_t n) { return AtRest(n, 1, Fleet::kBytes); }));
-  add(MeasureLine("agent_link_bytes", "agent", "B/s", few,
-                  [](size_t n) { return AtRest(1, n, Fleet::kBytes); }));
-  add(MeasureLine("agent_link_messages", "agent", "1/s", few,
-                  [](size_t n) { return AtRest(1, n, Fleet::kMessages); }));
-  add(MeasureLine("platform_calls_at_rest", "entry", "1/s", few,
-                  [](size_t n) { return AtRest(n, 1, Fleet::kCalls); }));
-  add(MeasureLine("entry_rest_time", "entry", "us/s", few,
-                  [](size_t n) { return AtRest(n, 2, Fleet::kTime); }));
+  add(MeasureLine("entry_link_bytes", "entry", "B/s", few, [](size_t n) {
+    return MeasureIdleFleet(n, 1, FleetQuantity::kBytes);
+  }));
+  add(MeasureLine("agent_link_bytes", "agent", "B/s", few, [](size_t n) {
+    return MeasureIdleFleet(1, n, FleetQuantity::kBytes);
+  }));
+  add(MeasureLine("agent_link_messages", "agent", "1/s", few, [](size_t n) {
+    return MeasureIdleFleet(1, n, FleetQuantity::kMessages);
+  }));
+  add(MeasureLine("platform_calls_at_rest", "entry", "1/s", few, [](size_t n) {
+    return MeasureIdleFleet(n, 1, FleetQuantity::kCalls);
+  }));
+  add(MeasureLine("entry_rest_time", "entry", "us/s", few, [](size_t n) {
+    return MeasureIdleFleet(n, 2, FleetQuantity::kTime);
+  }));
   add(MeasureLine("request_entry_bytes", "request", "B", requests,
-                  [](size_t n) { return Requests(n, Work::kEntryBytes); }));
+                  [](size_t n) {
+                    return MeasureRequests(n, RequestQuantity::kEntryBytes);
+                  }));
   add(MeasureLine("request_agent_bytes", "request", "B", requests,
-                  [](size_t n) { return Requests(n, Work::kAgentBytes); }));
-  add(MeasureLine("request_messages", "request", "1", requests,
-                  [](size_t n) { return Requests(n, Work::kMessages); }));
-  add(MeasureLine("request_time", "request", "us", requests,
-                  [](size_t n) { return Requests(n, Work::kTime); }));
-  add(MeasureLine("waiting_memory", "request", "B", requests,
-                  [](size_t n) { return Requests(n, Work::kMemory); }));
+                  [](size_t n) {
+                    return MeasureRequests(n, RequestQuantity::kAgentBytes);
+                  }));
+  add(MeasureLine("request_messages", "request", "1", requests, [](size_t n) {
+    return MeasureRequests(n, RequestQuantity::kMessages);
+  }));
+  add(MeasureLine("request_time", "request", "us", requests, [](size_t n) {
+    return MeasureRequests(n, RequestQuantity::kTime);
+  }));
+  add(MeasureLine("waiting_memory", "request", "B", requests, [](size_t n) {
+    return MeasureRequests(n, RequestQuantity::kMemory);
+  }));
   add(MeasureLine("entry_start_calls", "start", "1", starts,
                   [](size_t n) { return CallsPerStart(n, true); }));
   add(MeasureLine("agent_start_calls", "start", "1", starts,
