--- a/test/fakes/engine_core.cc
+++ b/test/fakes/engine_core.cc
@@ -32,7 +32,7 @@
   stream.word = prompt.substr(0, prompt.find(' '));
   stream.prompt_tokens =
       static_cast<uint32_t>(prompt.size() / kBytesPerToken + 1);
-  stream.cached_tokens = TakeCached(prompt);
+  stream.cached_tokens = UpdatePrefixCache(prompt);
   stream.prefill_left = stream.prompt_tokens -
                         std::min(stream.prompt_tokens, stream.cached_tokens);
   stream.max_tokens = max_tokens;
@@ -41,7 +41,7 @@
   return true;
 }
 
-uint32_t EngineCore::TakeCached(const std::string& prompt) {
+uint32_t EngineCore::UpdatePrefixCache(const std::string& prompt) {
   uint32_t hit = 0;
   bool hitting = true;
   uint64_t hash = 0;
@@ -150,13 +150,13 @@
 }
 
 std::string EngineCore::CacheEvents(uint64_t after) const {
-  // Every seventh event is missing and the newest come late.
-  constexpr uint64_t kGap = 7;
-  constexpr size_t kLate = 8;
+  // Every seventh event is lost, and the newest events are delayed.
+  constexpr uint64_t kLostEventInterval = 7;
+  constexpr size_t kDelayedEvents = 8;
   json::array events;
-  for (size_t i = 0; i + kLate < cache_events_.size(); ++i) {
+  for (size_t i = 0; i + kDelayedEvents < cache_events_.size(); ++i) {
     const CacheEvent& event = cache_events_[i];
-    if (event.seq > after && event.seq % kGap != 0) {
+    if (event.seq > after && event.seq % kLostEventInterval != 0) {
       events.push_back(
           json::object{{"seq", event.seq},
                        {"kind", event.stored ? "stored" : "evicted"},
--- a/test/fakes/engine_core.h
+++ b/test/fakes/engine_core.h
@@ -13,15 +13,17 @@
 
 namespace lavenderkeel::fakes {
 
-/// A model engine without sockets: continuous batch, prefix cache of limited
-/// size, load reports and cache events that lag, streams that can be resumed
-/// and cancelled. It knows no priorities and admits whatever it is sent.
+/// Simulation of a model engine, without sockets: continuous batching, a prefix
+/// cache of limited size, load reports and cache events that lag, and streams
+/// that can be resumed and cancelled. It has no priorities and admits every
+/// request.
 class EngineCore {
  public:
   struct Options {
-    /// Time of one step with one request in the batch.
+    /// Duration of a step with one request in the batch.
     Duration step = std::chrono::milliseconds(4);
-    /// Each further request in the batch adds this share to the step.
+    /// Fraction of the step by which each further request in the batch extends
+    /// it.
     double batch_slowdown = 0.05;
     uint32_t prefill_tokens_per_step = 512;
     size_t prefix_blocks = 256;
@@ -30,8 +32,8 @@
   };
 
   struct Stream {
-    /// The prompt's first word; every text carries it, so that a mixed answer
-    /// shows.
+    /// First word of the prompt. Every text of the stream contains it, so that
+    /// an answer mixed from two requests is detected.
     std::string word;
     uint32_t prompt_tokens = 0;
     uint32_t cached_tokens = 0;
@@ -44,15 +46,18 @@
 
   explicit EngineCore(Options options) : options_(options) {}
 
-  /// @return false if the id is known already; a second start changes nothing
+  /// Starts a request. A second start with the same id has no effect.
+  ///
+  /// @return false if the id is known already
   bool Start(const std::string& request_id,
              const std::string& prompt,
              uint32_t max_tokens);
+  /// @return the state of the request: "unknown", "finished" or "cancelled"
   std::string Cancel(const std::string& request_id);
-  /// As if the engine had been told to stop everything.
+  /// Cancels all running requests.
   void CancelAll();
   const Stream* Find(const std::string& request_id) const;
-  /// Generates what the time allows.
+  /// Executes the steps that are due, and records a load report.
   void Advance(TimePoint now);
   static std::string TextOf(const std::string& word, size_t index) {
     return word + std::to_string(index) + " ";
@@ -61,7 +66,9 @@
 
   std::string Load(TimePoint now) const;
   std::string CacheEvents(uint64_t after) const;
-  /// @return the status: 202, or 409 with the newer fence
+  /// Adds a model unless the fence is older than the last one.
+  ///
+  /// @return the HTTP status: 202, or 409 if the fence is outdated
   int Order(uint64_t fence, const std::string& model);
   std::string State() const;
 
@@ -82,7 +89,7 @@
   };
 
   void Step();
-  uint32_t TakeCached(const std::string& prompt);
+  uint32_t UpdatePrefixCache(const std::string& prompt);
   void EndStream(const std::string& id, Stream& stream);
 
   Options options_;
--- a/test/fakes/fake_backend.cc
+++ b/test/fakes/fake_backend.cc
@@ -1,6 +1,7 @@
-// Stand-in for a backend server on the users' platform. Streams events below
-// /stream/, answers anything else whole. Writes the id of each request that it
-// runs to a file, which is what "it ran" means to a checker.
+// Fake backend server of a deployment on the users' platform. Streams events
+// below /stream/ and answers all other requests with a single body. Appends the
+// id of each request that it runs to a file, from which a checker learns which
+// requests ran.
 #include <cstdlib>
 #include <fstream>
 #include <iostream>
@@ -32,9 +33,9 @@
                .on_too_large = [](CallerId) {}}) {}
 
   int Run(const std::string& listen, const std::string& ready_file) {
-    return lavenderkeel::fakes::RunStandIn(loop_, http_, listen, ready_file,
-                                           std::chrono::milliseconds(8),
-                                           [this] { Step(); });
+    return lavenderkeel::fakes::RunFakeServer(loop_, http_, listen, ready_file,
+                                              std::chrono::milliseconds(8),
+                                              [this] { Step(); });
   }
 
  private:
@@ -79,7 +80,9 @@
     }
   }
 
-  /// True once the run is over.
+  /// Executes one step of a run.
+  ///
+  /// @return true once the run has ended
   bool Advance(CallerId caller, Running& run) {
     if (!run.stream) {
       constexpr int kStepsOfWork = 3;
@@ -116,7 +119,7 @@
 int main(int argc, char** argv) {
   constexpr int kArguments = 5;
   if (argc != kArguments) {
-    std::cerr << "use: fake_backend LISTEN READY_FILE ID RUNS_FILE\n";
+    std::cerr << "usage: fake_backend LISTEN READY_FILE ID RUNS_FILE\n";
     return lavenderkeel::kBadUseStatus;
   }
   lavenderkeel::PrepareProcess();
--- a/test/fakes/fake_engine.cc
+++ b/test/fakes/fake_engine.cc
@@ -1,6 +1,6 @@
-// A stand-in for a model engine or a plain service. Besides INTERFACES it takes
-// POST /fault/speed?factor=F, /fault/silence and /fault/up, and GET /starts. A
-// prompt that begins with "deadly" ends the process.
+// Fake model engine or plain service. Besides the interface in INTERFACES it
+// accepts POST /fault/speed?factor=F, /fault/silence and /fault/up, and GET
+// /starts. A prompt that begins with "deadly" terminates the process.
 // Arguments: engine|service LISTEN READY_FILE [STEP_MS [checks|ignores]].
 #include <boost/json.hpp>
 #include <cstdlib>
@@ -36,14 +36,14 @@
                .on_gone = [this](CallerId caller) { readers_.erase(caller); },
                .on_too_large = [](CallerId) {}}) {
     core_.on_start = [this](const std::string& prompt) {
-      ends_ = ends_ || prompt.starts_with("deadly");
+      exit_requested_ = exit_requested_ || prompt.starts_with("deadly");
     };
   }
 
   int Run(const std::string& listen, const std::string& ready_file) {
-    return lavenderkeel::fakes::RunStandIn(loop_, http_, listen, ready_file,
-                                           std::chrono::milliseconds(1),
-                                           [this] { Feed(); });
+    return lavenderkeel::fakes::RunFakeServer(loop_, http_, listen, ready_file,
+                                              std::chrono::milliseconds(1),
+                                              [this] { SendEvents(); });
   }
 
  private:
@@ -88,7 +88,7 @@
   }
 
   void SetFault(const HttpRequest& request) {
-    silent_ = request.path == "/fault/silence";
+    streams_stalled_ = request.path == "/fault/silence";
     if (request.path == "/fault/speed") {
       core_.set_speed(std::atof(request.query.c_str() + 7));
     }
@@ -106,7 +106,7 @@
     const std::string id(
         body.contains("request_id")
             ? body.at("request_id").as_string()
-            : json::string("direct-" + std::to_string(++direct_)));
+            : json::string("direct-" + std::to_string(++direct_requests_)));
     core_.Start(id, std::string(body.at("prompt").as_string()),
                 body.at("max_tokens").to_number<uint32_t>());
     Open(request.id, id, 0);
@@ -134,12 +134,12 @@
     readers_[caller] = {.request_id = id, .next = from};
   }
 
-  void Feed() {
-    if (ends_) {
+  void SendEvents() {
+    if (exit_requested_) {
       std::_Exit(EXIT_FAILURE);
     }
     core_.Advance(clock_.Now());
-    if (silent_) {
+    if (streams_stalled_) {
       return;
     }
     std::vector<CallerId> ended;
@@ -176,17 +176,17 @@
   EngineCore core_;
   HttpServer http_;
   std::map<CallerId, Reader> readers_;
-  bool silent_ = false;
-  bool ends_ = false;
+  bool streams_stalled_ = false;
+  bool exit_requested_ = false;
   uint64_t calls_ = 0;
-  uint64_t direct_ = 0;
+  uint64_t direct_requests_ = 0;
 };
 
 }  // namespace
 
 int main(int argc, char** argv) {
   if (argc < 4) {
-    std::cerr << "use: fake_engine engine|service LISTEN READY_FILE "
+    std::cerr << "usage: fake_engine engine|service LISTEN READY_FILE "
                  "[STEP_MS [checks|ignores]]\n";
     return lavenderkeel::kBadUseStatus;
   }
--- a/test/fakes/fake_platform.cc
+++ b/test/fakes/fake_platform.cc
@@ -1,5 +1,5 @@
-// A stand-in for the platform's object API. Besides INTERFACES it takes
-// POST /fault/up, /fault/outage, /fault/lose and /fault/slow?ms=N.
+// Fake of the platform's object API. Besides the interface in INTERFACES it
+// accepts POST /fault/up, /fault/outage, /fault/lose and /fault/slow?ms=N.
 #include <deque>
 #include <iostream>
 
@@ -21,7 +21,7 @@
 
 namespace {
 
-struct Held {
+struct PendingCall {
   CallerId caller = 0;
   PlatformCall call;
   TimePoint not_before;
@@ -44,9 +44,9 @@
                    }}) {}
 
   int Run(const std::string& listen, const std::string& ready_file) {
-    return lavenderkeel::fakes::RunStandIn(loop_, http_, listen, ready_file,
-                                           std::chrono::milliseconds(2),
-                                           [this] { Serve(); });
+    return lavenderkeel::fakes::RunFakeServer(loop_, http_, listen, ready_file,
+                                              std::chrono::milliseconds(2),
+                                              [this] { AnswerDueCalls(); });
   }
 
  private:
@@ -61,28 +61,29 @@
           .caller = request.id, .body = std::to_string(core_.calls())});
       return;
     }
-    Held held{.caller = request.id,
-              .call = {.method = request.method,
-                       .path = request.path,
-                       .body = request.body},
-              .not_before = clock_.Now() + delay_};
+    PendingCall pending{.caller = request.id,
+                        .call = {.method = request.method,
+                                 .path = request.path,
+                                 .body = request.body},
+                        .not_before = clock_.Now() + delay_};
     if (!request.query.empty()) {
-      held.call.path += "?" + request.query;
+      pending.call.path += "?" + request.query;
     }
     const auto if_match = request.header("If-Match");
     if (request.header("If-None-Match").has_value()) {
-      held.call.if_match = "*";
+      pending.call.if_match = "*";
     } else if (if_match.has_value() && if_match->size() > 2) {
-      held.call.if_match = if_match->substr(1, if_match->size() - 2);
+      pending.call.if_match = if_match->substr(1, if_match->size() - 2);
     }
     const size_t wait = request.query.find("wait_ms=");
     if (wait != std::string::npos) {
-      held.watch = true;
-      held.watch_until = clock_.Now() + std::chrono::milliseconds(std::atoll(
-                                            request.query.c_str() + wait + 8));
+      pending.watch = true;
+      pending.watch_until =
+          clock_.Now() + std::chrono::milliseconds(
+                             std::atoll(request.query.c_str() + wait + 8));
     }
-    held_.push_back(held);
-    Serve();
+    pending_calls_.push_back(pending);
+    AnswerDueCalls();
   }
 
   void SetFault(const HttpRequest& request) {
@@ -96,22 +97,22 @@
     }
   }
 
-  void Serve() {
-    std::deque<Held> left;
-    for (Held& held : held_) {
+  void AnswerDueCalls() {
+    std::deque<PendingCall> left;
+    for (PendingCall& pending : pending_calls_) {
       const TimePoint now = clock_.Now();
-      if (now < held.not_before) {
-        left.push_back(held);
+      if (now < pending.not_before) {
+        left.push_back(pending);
         continue;
       }
-      const PlatformReply reply = core_.Handle(held.call);
-      if (held.watch && reply.status == 304 && now < held.watch_until) {
-        left.push_back(held);
+      const PlatformReply reply = core_.Handle(pending.call);
+      if (pending.watch && reply.status == 304 && now < pending.watch_until) {
+        left.push_back(pending);
         continue;
       }
-      Answer(held.caller, reply);
+      Answer(pending.caller, reply);
     }
-    held_.swap(left);
+    pending_calls_.swap(left);
   }
 
   void Answer(CallerId caller, const PlatformReply& reply) {
@@ -131,14 +132,14 @@
   PlatformCore core_;
   HttpServer http_;
   lavenderkeel::Duration delay_{};
-  std::deque<Held> held_;
+  std::deque<PendingCall> pending_calls_;
 };
 
 }  // namespace
 
 int main(int argc, char** argv) {
   if (argc != 3) {
-    std::cerr << "use: fake_platform LISTEN READY_FILE\n";
+    std::cerr << "usage: fake_platform LISTEN READY_FILE\n";
     return lavenderkeel::kBadUseStatus;
   }
   lavenderkeel::PrepareProcess();
--- a/test/fakes/fake_store.cc
+++ b/test/fakes/fake_store.cc
@@ -1,6 +1,6 @@
-// Stand-in for the users' store: kinds of objects, lists and watches, over
-// HTTP. PUT /objects/KIND/NAME sets an object's spec, PUT on its /status what
-// stands beside it, if it still has the revision that the call names; DELETE
+// Fake of the users' object store: objects by kind, lists and watches over
+// HTTP. PUT /objects/KIND/NAME sets an object's spec. PUT on its /status sets
+// its status, if the object still has the revision that the call names. DELETE
 // removes it.
 #include <boost/json.hpp>
 #include <cstdlib>
@@ -21,7 +21,7 @@
 using lavenderkeel::HttpRequest;
 using lavenderkeel::TimePoint;
 
-/// The number behind `name=` in a query; zero without one.
+/// Returns the numeric value of a query parameter; zero if it is missing.
 uint64_t QueryNumber(const std::string& query, const std::string& name) {
   const size_t at = query.find(name + "=");
   return at == std::string::npos
@@ -36,13 +36,13 @@
               {},
               {.on_request = [this](const HttpRequest& r) { OnRequest(r); },
                .on_drained = [](CallerId) {},
-               .on_gone = [this](CallerId id) { Forget(id); },
+               .on_gone = [this](CallerId id) { RemoveWatches(id); },
                .on_too_large = [](CallerId) {}}) {}
 
   int Run(const std::string& listen, const std::string& ready_file) {
-    return lavenderkeel::fakes::RunStandIn(loop_, http_, listen, ready_file,
-                                           std::chrono::milliseconds(5),
-                                           [this] { AnswerWatches(); });
+    return lavenderkeel::fakes::RunFakeServer(loop_, http_, listen, ready_file,
+                                              std::chrono::milliseconds(5),
+                                              [this] { AnswerWatches(); });
   }
 
  private:
@@ -66,7 +66,7 @@
     TimePoint until;
   };
 
-  static json::object Whole(const std::string& name, const Object& object) {
+  static json::object ToJson(const std::string& name, const Object& object) {
     return {{"metadata",
              {{"name", name},
               {"revision", object.revision},
@@ -110,7 +110,7 @@
     object.revision = ++revision_;
     object.created = object.created == 0 ? revision_ : object.created;
     object.spec = std::move(spec);
-    Note(kind, name, object);
+    RecordChange(kind, name, object);
   }
 
   void PutStatus(CallerId caller,
@@ -127,18 +127,18 @@
     Object& object = found->second;
     if (body.at("metadata").at("revision").to_number<uint64_t>() !=
         object.revision) {
-      Answer(caller, Whole(name, object), kConflict);
+      Answer(caller, ToJson(name, object), kConflict);
       return;
     }
     object.revision = ++revision_;
     object.status = body.at("status");
-    Note(kind, name, object);
-    Answer(caller, Whole(name, object));
+    RecordChange(kind, name, object);
+    Answer(caller, ToJson(name, object));
   }
 
-  void Note(const std::string& kind,
-            const std::string& name,
-            const Object& object) {
+  void RecordChange(const std::string& kind,
+                    const std::string& name,
+                    const Object& object) {
     changes_.push_back({.revision = object.revision,
                         .kind = kind,
                         .name = name,
@@ -158,7 +158,7 @@
   void List(CallerId caller, const std::string& kind) {
     json::array items;
     for (const auto& [name, object] : objects_[kind]) {
-      items.push_back(Whole(name, object));
+      items.push_back(ToJson(name, object));
     }
     Answer(caller,
            {{"items", items}, {"hasMore", false}, {"currentRev", revision_}});
@@ -172,7 +172,7 @@
         if (change.kind == watch.kind && change.revision > watch.revision) {
           events.push_back(
               json::object{{"tombstone", change.removed},
-                           {"object", Whole(change.name, change.object)}});
+                           {"object", ToJson(change.name, change.object)}});
         }
       }
       if (events.empty() && clock_.Now() < watch.until) {
@@ -192,7 +192,7 @@
         .body = json::serialize(body)});
   }
 
-  void Forget(CallerId caller) {
+  void RemoveWatches(CallerId caller) {
     std::erase_if(watches_, [caller](const Watch& watch) {
       return watch.caller == caller;
     });
@@ -211,7 +211,7 @@
 
 int main(int argc, char** argv) {
   if (argc != 3) {
-    std::cerr << "use: fake_store LISTEN READY_FILE\n";
+    std::cerr << "usage: fake_store LISTEN READY_FILE\n";
     return lavenderkeel::kBadUseStatus;
   }
   lavenderkeel::PrepareProcess();
--- a/test/fakes/fleet_world.cc
+++ b/test/fakes/fleet_world.cc
@@ -11,7 +11,7 @@
 
 constexpr Duration kStep = std::chrono::milliseconds(1);
 constexpr Duration kTick = std::chrono::milliseconds(20);
-constexpr int kStrongToWeak = 5;
+constexpr int kStrongProcessorShare = 5;
 
 }  // namespace
 
@@ -40,7 +40,7 @@
           .data_centre = "govan",
           .region = "scot",
           .address = processes_[entry].address,
-          .processor_share = strong ? kStrongToWeak : 1.0};
+          .processor_share = strong ? kStrongProcessorShare : 1.0};
 }
 
 ForwardSource FleetWorld::SourceOf(size_t entry) {
@@ -107,12 +107,12 @@
       AnswerWatches();
     }
   }
-  Later(
+  Schedule(
       [this, entry, incarnation = processes_[entry].incarnation, write, done] {
         const Process& process = processes_[entry];
         if (process.incarnation == incarnation && process.node != nullptr) {
           done(write);
-          Carry(entry);
+          ExecuteActions(entry);
         }
       });
 }
@@ -133,11 +133,11 @@
       return false;
     }
   }
-  Later([this, waiting, result] {
+  Schedule([this, waiting, result] {
     const Process& process = processes_[waiting.entry];
     if (process.incarnation == waiting.incarnation && process.node != nullptr) {
       waiting.done(result);
-      Carry(waiting.entry);
+      ExecuteActions(waiting.entry);
     }
   });
   return true;
@@ -188,20 +188,20 @@
 void FleetWorld::set_cut(int a, int b, bool cut) {
   const std::pair<size_t, size_t> pair = std::minmax(At(a), At(b));
   if (cut) {
-    cuts_.insert(pair);
+    partitions_.insert(pair);
   } else {
-    cuts_.erase(pair);
+    partitions_.erase(pair);
   }
 }
 
 void FleetWorld::In(int entry, const std::function<void(ForwardNode&)>& act) {
   act(node(entry));
-  Carry(At(entry));
+  ExecuteActions(At(entry));
 }
 
 void FleetWorld::Start(int entry) {
   Process& process = processes_[At(entry)];
-  // Calendar microseconds of the start, as real processes have.
+  // Calendar time of the start in microseconds, as for real processes.
   process.incarnation = static_cast<uint64_t>(
       clock_.WallNow().time_since_epoch().count() + entry);
   process.port = std::make_unique<FakeForwardPort>();
@@ -216,7 +216,7 @@
       node, InfoOf(At(entry)), SourceOf(At(entry)), hybrid::MakeHeaderCodec(),
       *process.port, clock_, process.incarnation, log_, *process.metrics);
   process.node->Start();
-  Carry(At(entry));
+  ExecuteActions(At(entry));
 }
 
 void FleetWorld::Kill(int entry) {
@@ -247,7 +247,7 @@
       for (size_t entry = 0; entry < processes_.size(); ++entry) {
         if (processes_[entry].node != nullptr) {
           processes_[entry].node->Tick();
-          Carry(entry);
+          ExecuteActions(entry);
         }
       }
     }
@@ -255,16 +255,16 @@
   }
 }
 
-void FleetWorld::Later(std::function<void()> act) {
+void FleetWorld::Schedule(std::function<void()> act) {
   deliveries_.push_back(
       {.at = clock_.Now() + options_.way, .act = std::move(act)});
 }
 
-void FleetWorld::Carry(size_t entry) {
+void FleetWorld::ExecuteActions(size_t entry) {
   Process& process = processes_[entry];
   for (Action& action : process.node->outbox().Take()) {
     if (const auto* dial = std::get_if<Dial>(&action)) {
-      Later(
+      Schedule(
           [this, entry, address = dial->address] { Connect(entry, address); });
     } else if (const auto* close = std::get_if<CloseLink>(&action)) {
       CloseLinkOf(close->link);
@@ -277,16 +277,16 @@
         servers_told_ += feed->objects.size();
       }
       auto message = std::make_shared<Message>(std::move(send->message));
-      Later([this, link = send->link, message] {
+      Schedule([this, link = send->link, message] {
         const auto found = links_.find(link);
         if (found == links_.end()) {
           return;
         }
         const auto [from, to, other_end] = found->second;
-        if (processes_[to].node != nullptr && !IsCut(from, to)) {
+        if (processes_[to].node != nullptr && !ArePartitioned(from, to)) {
           ++processes_[to].received;
           processes_[to].node->OnMessage(other_end, std::move(*message));
-          Carry(to);
+          ExecuteActions(to);
         }
       });
     }
@@ -299,7 +299,8 @@
     return;
   }
   const auto to = static_cast<size_t>(found - processes_.begin());
-  if (found == processes_.end() || found->node == nullptr || IsCut(from, to)) {
+  if (found == processes_.end() || found->node == nullptr ||
+      ArePartitioned(from, to)) {
     processes_[from].node->OnDialFailed(address);
     return;
   }
@@ -309,8 +310,8 @@
   links_[there] = {.from = to, .to = from, .other_end = here};
   processes_[to].node->OnLinkUp(there, InfoOf(from), "");
   processes_[from].node->OnLinkUp(here, InfoOf(to), address);
-  Carry(to);
-  Carry(from);
+  ExecuteActions(to);
+  ExecuteActions(from);
 }
 
 void FleetWorld::CloseLinkOf(LinkId link) {
@@ -321,10 +322,10 @@
   const Link closed = found->second;
   links_.erase(link);
   links_.erase(closed.other_end);
-  Later([this, closed] {
+  Schedule([this, closed] {
     if (processes_[closed.to].node != nullptr) {
       processes_[closed.to].node->OnLinkDown(closed.other_end);
-      Carry(closed.to);
+      ExecuteActions(closed.to);
     }
   });
 }
@@ -343,7 +344,7 @@
                   {"Authorization", "Bearer key"},
                   {"Deadline-Ms", "10000"}}},
       body);
-  Carry(At(entry));
+  ExecuteActions(At(entry));
   return exchange;
 }
 
--- a/test/fakes/fleet_world.h
+++ b/test/fakes/fleet_world.h
@@ -15,21 +15,24 @@
 
 namespace lavenderkeel::fakes {
 
-/// Forwarding entries with links in memory, a virtual clock, and a store that
-/// holds one configuration and servers. Nothing is lost on a link that is up.
+/// Simulation of forwarding entries with in-memory links, a virtual clock, and
+/// a store with one configuration, servers and rollouts. A link that is up
+/// loses no message.
 class FleetWorld {
  public:
   struct Options {
     int entries = 4;
-    /// Entries with five times the others' processor share, the first ones.
+    /// Number of entries with five times the processor share of the others.
+    /// These are the first ones.
     int strong = 0;
+    /// Number of entries that are seeds; the first ones.
     int seeds = 3;
-    /// The store lists a server "s" from the start.
+    /// Whether the store lists a server "s" from the start.
     bool with_server = true;
-    /// A request draws on this rate of its team.
+    /// Token rate of the only team.
     TeamRate rate;
     EventLog log = {};
-    /// How long messages take.
+    /// Latency of messages.
     Duration way = std::chrono::milliseconds(1);
     ForwardNode::Options node;
   };
@@ -37,42 +40,43 @@
   explicit FleetWorld(const Options& options);
   ~FleetWorld();
 
-  /// Lets time pass; messages take a millisecond.
+  /// Advances the virtual clock in steps of a millisecond.
   void Advance(Duration by);
-  /// A request of the only team at one entry.
+  /// Sends a request of the only team to an entry.
   ExchangeId Request(int entry,
                      const std::string& route = "lookup",
                      const std::string& body = "");
-  /// How many requests that entry refused for their team's rate.
+  /// Number of requests that the entry refused because of their team's rate.
   int Refused(int entry) const;
-  /// The process ends without a word; it may be started again.
+  /// Ends the process without notice to its peers. Start() restarts it.
   void Kill(int entry);
   void Start(int entry);
 
-  /// Writes a server to the store, and answers the watches that wait.
+  /// Writes a server to the store and answers waiting watches.
   void PutServer(const std::string& name,
                  bool draining,
                  const std::string& address = "10.0.1.1:1",
                  const std::string& version = "v1");
   void RemoveServer(const std::string& name);
-  /// Writes an object as an operator does; what stands beside it stays.
+  /// Writes an object as an operator does. Its status is kept.
   void PutObject(const std::string& kind,
                  const std::string& name,
                  const std::string& content);
   void RemoveObject(const std::string& kind, const std::string& name);
-  /// What the entries wrote beside the object; empty if nothing.
+  /// Status that the entries wrote to the object; empty if none.
   std::string StatusOf(const std::string& kind, const std::string& name) const;
-  /// While it is down the store answers nobody.
+  /// Sets whether the store is down; it then answers no request.
   void set_store_down(bool down) { store_down_ = down; }
-  /// Reads that entries made since the last ResetCounts.
+  /// Number of reads by entries since the last ResetCounts.
   uint64_t store_reads() const { return store_reads_; }
 
-  /// Between the two nothing arrives any more, or does again.
+  /// Starts or ends a partition between two entries.
   void set_cut(int a, int b, bool cut);
 
-  /// What the entry sent to servers and clients since its start.
+  /// Records what the entry sent to servers and clients since its start.
   FakeForwardPort& port(int entry) { return *processes_[At(entry)].port; }
-  /// Does something in the entry, as an event from outside would.
+  /// Calls a function on the entry's node, then executes the node's actions, as
+  /// for an external event.
   void In(int entry, const std::function<void(ForwardNode&)>& act);
   TimePoint Now() const { return clock_.Now(); }
   uint64_t incarnation(int entry) const {
@@ -81,12 +85,12 @@
 
   ForwardNode& node(int entry) { return *processes_[At(entry)].node; }
   bool runs(int entry) const { return processes_[At(entry)].node != nullptr; }
-  /// Messages that the entry sent since the last ResetCounts.
+  /// Number of messages that the entry sent since the last ResetCounts.
   uint64_t Sent(int entry) const { return processes_[At(entry)].sent; }
   uint64_t Received(int entry) const { return processes_[At(entry)].received; }
-  /// Entries that were named in lists sent since the last ResetCounts.
+  /// Number of entries in lists that were sent since the last ResetCounts.
   uint64_t entries_told() const { return entries_told_; }
-  /// Servers that were named in lists and changes sent since then.
+  /// Number of servers in lists and changes that were sent since then.
   uint64_t servers_told() const { return servers_told_; }
   void ResetCounts();
   int entries() const { return options_.entries; }
@@ -124,23 +128,23 @@
                    const RolloutOrder& order,
                    const RolloutRecord& record,
                    const std::function<void(const RecordWrite&)>& done);
-  /// @return whether it was answered
+  /// @return false if the watch has nothing to report yet
   bool Answer(const WaitingRead& waiting);
   void AnswerWatches();
   ForwardSource SourceOf(size_t entry);
-  void Carry(size_t entry);
+  void ExecuteActions(size_t entry);
   void Connect(size_t from, const std::string& address);
   void CloseLinkOf(LinkId link);
-  void Later(std::function<void()> act);
-  bool IsCut(size_t a, size_t b) const {
-    return cuts_.contains(std::minmax(a, b));
+  void Schedule(std::function<void()> act);
+  bool ArePartitioned(size_t a, size_t b) const {
+    return partitions_.contains(std::minmax(a, b));
   }
 
   Options options_;
   fuzz::VirtualClock clock_;
   EventLog log_;
   std::vector<Process> processes_;
-  /// By the end of the entry that it is of.
+  /// Both ends of each link, by the id at that end.
   std::map<LinkId, Link> links_;
   std::deque<Delivery> deliveries_;
   /// By kind and name.
@@ -151,7 +155,7 @@
   uint64_t entries_told_ = 0;
   uint64_t servers_told_ = 0;
   bool store_down_ = false;
-  std::set<std::pair<size_t, size_t>> cuts_;
+  std::set<std::pair<size_t, size_t>> partitions_;
   LinkId last_link_ = 0;
   ExchangeId last_exchange_ = 0;
 };
--- a/test/fakes/forward_world.cc
+++ b/test/fakes/forward_world.cc
@@ -58,11 +58,11 @@
     : gate({},
            directory,
            clock,
-           [this](const std::string& asker, const SlotGrant& grant) {
-             const bool wanted = slots.OnGrant(asker, grant.attempt) &&
-                                 controller.OnSlot(asker, grant);
+           [this](const std::string& requester, const SlotGrant& grant) {
+             const bool wanted = slots.OnGrant(requester, grant.attempt) &&
+                                 controller.OnSlot(requester, grant);
              if (!wanted) {
-               gate.Done(asker, grant.attempt, {});
+               gate.Done(requester, grant.attempt, {});
              }
            }),
       slots({.self = "self"},
--- a/test/fakes/forward_world.h
+++ b/test/fakes/forward_world.h
@@ -14,7 +14,7 @@
 
 namespace lavenderkeel::fakes {
 
-/// What a client has been sent of its answer.
+/// The part of an answer that a client has received.
 struct ClientView {
   std::optional<int> status;
   HttpFields fields;
@@ -23,7 +23,7 @@
   bool aborted = false;
 };
 
-/// What a controller has sent to a server.
+/// A request that a controller has sent to a server.
 struct SentAttempt {
   AttemptId attempt = 0;
   std::string address;
@@ -31,11 +31,11 @@
   Duration reuse_within{};
   bool cancelled = false;
 
-  /// The value of a field in the head that was sent; empty if it has none.
+  /// Returns the value of a header field of the request; empty if it has none.
   std::string Field(const std::string& name) const;
 };
 
-/// A port that only notes what it is told.
+/// Port that records all calls.
 class FakeForwardPort final : public ForwardPort {
  public:
   void Respond(ExchangeId exchange,
@@ -52,38 +52,44 @@
   std::vector<SentAttempt> sent;
 };
 
-/// One controller with its own gate, a virtual clock, a fake port, and servers
-/// by hand.
+/// Simulation of one entry: a controller with its own slot scheduler, a virtual
+/// clock and a fake port. The test acts as the servers.
 class ForwardWorld {
  public:
   struct Options {
     ForwardController::Options controller;
     int servers = 2;
     int slots = 2;
-    /// Whether Table() is in force from the start.
+    /// Whether Table() is applied from the start.
     bool configured = true;
   };
 
   ForwardWorld();
   explicit ForwardWorld(const Options& options);
 
-  /// A request of a route of that name; see Table().
+  /// Sends a request to a route of Table().
+  ///
+  /// @param extra header fields that are added or replaced
   ExchangeId Request(const std::string& route, const HttpFields& extra = {});
   void Advance(Duration by);
 
-  /// The head and, for `whole`, the rest of a server's answer to an attempt.
+  /// Delivers the head of a server's answer to an attempt.
   void Head(const SentAttempt& attempt,
             int status,
             const HttpFields& extra = {});
+  /// Delivers a complete answer to an attempt.
   void Answer(const SentAttempt& attempt,
               int status,
               const std::string& body,
               const HttpFields& extra = {});
+  /// Delivers the events from id `first` to id `last`, after the head if
+  /// needed.
   void Events(const SentAttempt& attempt, int first, int last);
   static std::string EventText(int first, int last);
 
-  /// Routes: "stream" (resumable, two attempts), "once-stream", "once" (not
-  /// idempotent), "lookup" (idempotent, two attempts). One team, key "key".
+  /// Returns a table with the routes "stream" (resumable, two attempts),
+  /// "once-stream", "once" (not idempotent) and "lookup" (idempotent, two
+  /// attempts), and one team with the key "key".
   static RouteTableContent Table(uint64_t version = 1);
 
   SentAttempt& last() { return port.sent.back(); }
--- a/test/fakes/platform_core.h
+++ b/test/fakes/platform_core.h
@@ -10,7 +10,7 @@
 
 namespace lavenderkeel::fakes {
 
-/// The platform's object API without sockets.
+/// Simulation of the platform's object API, without sockets.
 class PlatformCore {
  public:
   struct Object {
@@ -19,20 +19,20 @@
   };
   enum class Mode {
     kUp,
-    /// Every call is refused with 503.
+    /// Every call fails with status 503.
     kOutage,
     /// Writes take effect, but their answers are lost.
     kLoseWriteAnswers,
   };
 
-  /// Answers a call. A watch that finds nothing new answers 304 here; whoever
-  /// has a clock may hold it back and ask again.
+  /// Answers a call. A watch without a newer version gets 304; to wait, its
+  /// caller repeats the call.
   PlatformReply Handle(const PlatformCall& call);
 
   void set_mode(Mode mode) { mode_ = mode; }
   const std::map<std::string, Object>& objects() const { return objects_; }
   uint64_t calls() const { return calls_; }
-  /// Called after each write that took effect.
+  /// Called after each successful write.
   std::function<void(const std::string& name)> on_write;
 
  private:
--- a/test/fakes/server_farm.cc
+++ b/test/fakes/server_farm.cc
@@ -48,15 +48,15 @@
 
 void ServerFarm::Crash(int server) {
   if (servers_[At(server)].up) {
-    End(At(server));
+    CrashServer(At(server));
   }
 }
 
-void ServerFarm::End(size_t index) {
+void ServerFarm::CrashServer(size_t index) {
   Server& server = servers_[index];
   server.up = false;
   server.back_at = fleet_.Now() + options_.back_after;
-  lapsing_[server.id] = fleet_.Now() + options_.lapses_after;
+  pending_removals_[server.id] = fleet_.Now() + options_.removed_after;
   ++crashes_;
   for (const Run& run : TakeRuns(index)) {
     Fail(run, AttemptFailure::kDisconnected);
@@ -79,12 +79,12 @@
   const auto at_server = std::stable_partition(
       runs_.begin(), runs_.end(),
       [server](const Run& run) { return run.server != server; });
-  std::vector<Run> taken(at_server, runs_.end());
+  std::vector<Run> removed(at_server, runs_.end());
   runs_.erase(at_server, runs_.end());
-  return taken;
+  return removed;
 }
 
-bool ServerFarm::Wanted(const Run& run) const {
+bool ServerFarm::IsAwaited(const Run& run) const {
   if (!fleet_.runs(run.entry) ||
       fleet_.incarnation(run.entry) != run.incarnation) {
     return false;
@@ -96,7 +96,7 @@
 }
 
 void ServerFarm::Fail(const Run& run, AttemptFailure failure) {
-  if (Wanted(run)) {
+  if (IsAwaited(run)) {
     fleet_.In(run.entry, [&](ForwardNode& node) {
       node.controller().OnAttemptFailed(run.attempt.attempt, failure);
     });
@@ -104,7 +104,7 @@
 }
 
 void ServerFarm::Answer(const Run& run, int status) {
-  if (!Wanted(run)) {
+  if (!IsAwaited(run)) {
     return;
   }
   ResponseHead head = {
@@ -121,15 +121,15 @@
   });
 }
 
-void ServerFarm::TakeSent(int entry) {
-  size_t& taken = taken_[{entry, fleet_.incarnation(entry)}];
-  while (taken < fleet_.port(entry).sent.size()) {
-    const SentAttempt attempt = fleet_.port(entry).sent[taken++];
-    Take(entry, attempt);
+void ServerFarm::ReceiveAttempts(int entry) {
+  size_t& received = received_counts_[{entry, fleet_.incarnation(entry)}];
+  while (received < fleet_.port(entry).sent.size()) {
+    const SentAttempt attempt = fleet_.port(entry).sent[received++];
+    ReceiveAttempt(entry, attempt);
   }
 }
 
-void ServerFarm::Take(int entry, const SentAttempt& attempt) {
+void ServerFarm::ReceiveAttempt(int entry, const SentAttempt& attempt) {
   const auto server =
       std::ranges::find(servers_, attempt.address, &Server::address);
   const Run run = {.entry = entry,
@@ -150,7 +150,7 @@
 
 void ServerFarm::Advance(const Run& run) {
   const Duration ran = fleet_.Now() - run.since;
-  if (deadly_.contains(run.body)) {
+  if (crashing_bodies_.contains(run.body)) {
     if (ran >= options_.crashes_after) {
       ended_[run.body].push_back(fleet_.Now());
       Crash(static_cast<int>(run.server));
@@ -172,21 +172,22 @@
       Start(i);
     }
   }
-  for (auto lapsing = lapsing_.begin(); lapsing != lapsing_.end();) {
-    const auto current = lapsing++;
+  for (auto removal = pending_removals_.begin();
+       removal != pending_removals_.end();) {
+    const auto current = removal++;
     if (fleet_.Now() >= current->second) {
       fleet_.RemoveServer(current->first);
-      lapsing_.erase(current);
+      pending_removals_.erase(current);
     }
   }
   for (int entry = 0; entry < fleet_.entries(); ++entry) {
     if (fleet_.runs(entry)) {
-      TakeSent(entry);
+      ReceiveAttempts(entry);
     }
   }
   const std::vector<Run> runs = runs_;
   for (const Run& run : runs) {
-    // An earlier one may have ended this one's server.
+    // An earlier run of this loop may have crashed the server of this run.
     const bool here = std::ranges::any_of(runs_, [&run](const Run& other) {
       return other.entry == run.entry && other.incarnation == run.incarnation &&
              other.attempt.attempt == run.attempt.attempt;
--- a/test/fakes/server_farm.h
+++ b/test/fakes/server_farm.h
@@ -13,42 +13,43 @@
 
 namespace lavenderkeel::fakes {
 
-/// Backend servers of a FleetWorld, which crash under requests with certain
-/// bodies and start again under another id at the same address.
+/// Simulation of the backend servers of a FleetWorld. Requests with certain
+/// bodies crash them; they restart with a new id at the same address.
 class ServerFarm {
  public:
   struct Options {
     int servers = 8;
     Duration answers_after = std::chrono::milliseconds(100);
-    /// From the start of a run to the end of its server.
+    /// From the start of a run to the crash of its server.
     Duration crashes_after = std::chrono::milliseconds(40);
+    /// From the crash to the restart of a server.
     Duration back_after = std::chrono::seconds(3);
-    /// The store lists a crashed server for this long.
-    Duration lapses_after = std::chrono::milliseconds(3600);
+    /// How long the store lists a crashed server.
+    Duration removed_after = std::chrono::milliseconds(3600);
   };
 
   ServerFarm(FleetWorld& fleet, const Options& options);
 
-  /// Lets time pass, for the fleet too.
+  /// Advances the time of the servers and of the fleet.
   void Advance(Duration by);
   void set_back_after(Duration back_after) { options_.back_after = back_after; }
-  /// Requests with this body crash the server that runs them.
-  void SetDeadly(const std::string& body) { deadly_.insert(body); }
-  /// A server ends for a reason of its own.
+  /// Makes requests with this body crash the server that runs them.
+  void SetDeadly(const std::string& body) { crashing_bodies_.insert(body); }
+  /// Crashes a server independently of its requests.
   void Crash(int server);
-  /// All connections to it are reset; it runs on.
+  /// Resets all connections to a server, which keeps running.
   void ResetConnections(int server);
 
-  /// Where a request with that body runs, if it does.
+  /// Returns the server that runs a request with this body, if any.
   std::optional<int> ServerOf(const std::string& body) const;
 
   int crashes() const { return crashes_; }
   bool up(int server) const { return servers_[At(server)].up; }
-  /// When requests with that body reached a server.
+  /// Times at which requests with this body reached a server.
   const std::vector<TimePoint>& reached(const std::string& body) {
     return reached_[body];
   }
-  /// When servers ended under requests with that body.
+  /// Times at which requests with this body crashed a server.
   const std::vector<TimePoint>& ended(const std::string& body) {
     return ended_[body];
   }
@@ -73,26 +74,27 @@
   static size_t At(int server) { return static_cast<size_t>(server); }
   static std::string BodyOf(const SentAttempt& attempt);
   void Step();
-  void TakeSent(int entry);
-  void Take(int entry, const SentAttempt& attempt);
+  void ReceiveAttempts(int entry);
+  void ReceiveAttempt(int entry, const SentAttempt& attempt);
   void Advance(const Run& run);
   void Start(size_t server);
-  void End(size_t server);
-  /// Takes away and returns what runs at the server.
+  void CrashServer(size_t server);
+  /// Removes and returns the runs of a server.
   std::vector<Run> TakeRuns(size_t server);
   void Fail(const Run& run, AttemptFailure failure);
   void Answer(const Run& run, int status);
-  bool Wanted(const Run& run) const;
+  bool IsAwaited(const Run& run) const;
 
   FleetWorld& fleet_;
   Options options_;
   std::vector<Server> servers_;
   std::vector<Run> runs_;
-  /// Listed ids of ended servers, and when they lapse.
-  std::map<std::string, TimePoint> lapsing_;
-  /// What each entry had sent when it was looked at last.
-  std::map<std::pair<int, uint64_t>, size_t> taken_;
-  std::set<std::string> deadly_;
+  /// Ids of crashed servers that the store still lists, with the time of their
+  /// removal.
+  std::map<std::string, TimePoint> pending_removals_;
+  /// Number of processed attempts, by entry and incarnation.
+  std::map<std::pair<int, uint64_t>, size_t> received_counts_;
+  std::set<std::string> crashing_bodies_;
   std::map<std::string, std::vector<TimePoint>> reached_;
   std::map<std::string, std::vector<TimePoint>> ended_;
   int crashes_ = 0;
--- a/test/fakes/stand_in.h
+++ b/test/fakes/stand_in.h
@@ -9,16 +9,16 @@
 
 namespace lavenderkeel::fakes {
 
-/// Runs a stand-in's loop until it is told to stop.
+/// Runs the event loop of a fake server until SIGTERM or SIGINT.
 ///
 /// @param step called every `period`
 /// @return the exit status
-inline int RunStandIn(EventLoop& loop,
-                      HttpServer& http,
-                      const std::string& listen,
-                      const std::string& ready_file,
-                      Duration period,
-                      EventLoop::Task step) {
+inline int RunFakeServer(EventLoop& loop,
+                         HttpServer& http,
+                         const std::string& listen,
+                         const std::string& ready_file,
+                         Duration period,
+                         EventLoop::Task step) {
   const auto address = http.Listen(listen);
   if (!address.has_value()) {
     return 1;
