--- a/test/fuzz/fuzz_test.cc
+++ b/test/fuzz/fuzz_test.cc
@@ -1,5 +1,5 @@
-// Stateful fuzzing of the whole system against an oracle. The commands are
-// generated, and on a failure shrunk, by rapidcheck; RC_PARAMS fixes the seed.
+// Stateful fuzzing of the whole system against an oracle. RapidCheck generates
+// the steps and shrinks them on a failure; RC_PARAMS sets the seed.
 #include <rapidcheck.h>
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -11,10 +11,11 @@
 
 namespace {
 
-/// Steps of these kinds and waits, with any arguments.
+/// Generates steps of these kinds and waits, with arbitrary arguments.
 rc::Gen<Step> StepOf(const rc::Gen<uint8_t>& kind,
                      const rc::Gen<uint16_t>& wait) {
-  // At full size throughout: short sequences need all kinds of steps too.
+  // Independent of the sequence length: short sequences need all kinds of steps
+  // too.
   constexpr int kFullSize = 100;
   return rc::gen::resize(
       kFullSize,
@@ -28,14 +29,15 @@
 }
 
 rc::Gen<Step> AnyStep() {
-  // What makes trouble together comes more often: requests, their retries and
-  // processes that lose their state in between.
+  // Steps that find faults in combination are more frequent: requests, their
+  // retries, and processes that lose their state in between.
   const auto kind = rc::gen::weightedOneOf<uint8_t>(
-      {{2, rc::gen::inRange<uint8_t>(0, Step::kKinds)},
+      {{2, rc::gen::inRange<uint8_t>(0, Step::kGeneratedKinds)},
        {1, rc::gen::just<uint8_t>(Step::kSubmit)},
        {2, rc::gen::just<uint8_t>(Step::kRetry)},
        {1, rc::gen::just<uint8_t>(Step::kCrash)}});
-  // Most steps follow at once, some leave time to notice.
+  // Most steps follow immediately; some waits are long enough to detect a
+  // failure.
   const auto wait = rc::gen::weightedOneOf<uint16_t>(
       {{3, rc::gen::inRange<uint16_t>(0, 20)},
        {3, rc::gen::inRange<uint16_t>(0, 300)},
@@ -43,9 +45,9 @@
   return StepOf(kind, wait);
 }
 
-/// Steps that bring retries of one key to both sides of a cut: long enough
-/// apart that each side takes the other for lost.
-rc::Gen<Step> AnyStepAroundCuts() {
+/// Generates steps that retry one key on both sides of a partition, far enough
+/// apart for each side to consider the other lost.
+rc::Gen<Step> AnyStepAroundPartitions() {
   const auto kind =
       rc::gen::weightedElement<uint8_t>({{2, Step::kSubmit},
                                          {3, Step::kSubmitEverywhere},
@@ -59,7 +61,7 @@
                                          {1, Step::kSilence},
                                          {1, Step::kFreeze},
                                          {1, Step::kLeave},
-                                         {1, Step::kPlatformLoses},
+                                         {1, Step::kPlatformLosesAnswers},
                                          {1, Step::kPlatformSlow},
                                          {1, Step::kPlatformOutage}});
   const auto wait = rc::gen::weightedOneOf<uint16_t>(
@@ -67,20 +69,23 @@
        {2, rc::gen::inRange<uint16_t>(0, 300)},
        {3, rc::gen::inRange<uint16_t>(1000, 3500)}});
   return rc::gen::map(StepOf(kind, wait), [](Step step) {
-    // Only work that may not be repeated is claimed.
+    // Only non-repeatable work is claimed.
     const bool submits =
         step.kind == Step::kSubmit || step.kind == Step::kSubmitEverywhere;
-    step.b += submits && step.b % 3 == 0 ? 2 : 0;
+    step.argument += submits && step.argument % 3 == 0 ? 2 : 0;
     return step;
   });
 }
 
-/// Plays sequences of such steps until one breaks a promise.
-bool Hold(const char* what, const std::function<rc::Gen<Step>()>& any_step) {
+/// Runs generated sequences of such steps until one violates a guarantee.
+///
+/// @param what name of the property, for the output
+bool CheckProperty(const char* what,
+                   const std::function<rc::Gen<Step>()>& any_step) {
   return rc::check(what, [&any_step] {
     const uint64_t seed = *rc::gen::inRange<uint64_t>(1, 1'000'000);
     const auto steps = *rc::gen::container<std::vector<Step>>(any_step());
-    const std::string violation = Play(seed, steps);
+    const std::string violation = RunSteps(seed, steps);
     if (!violation.empty()) {
       RC_FAIL(violation);
     }
@@ -89,24 +94,25 @@
 
 }  // namespace
 
-// Entries are cut from each other, killed, frozen and restarted while a caller
-// retries its key on every side, with the platform up, slow, away or losing
-// answers. Each side in turn has reason to take the other for gone.
-BOOST_AUTO_TEST_CASE(KeysRunOnceAroundCuts) {
-  BOOST_TEST(Hold("keys run once around cuts", AnyStepAroundCuts));
+// Entries are partitioned, killed, frozen and restarted while a caller retries
+// its key on every side, with the platform up, slow, down or losing answers.
+// Each side may consider the other lost, which must not lead to a second run.
+BOOST_AUTO_TEST_CASE(KeysRunOnceAroundPartitions) {
+  BOOST_TEST(CheckProperty("keys run once around partitions",
+                           AnyStepAroundPartitions));
 }
 
 BOOST_AUTO_TEST_CASE(PromisesHoldUnderAnyFaults) {
   if (const char* steps = std::getenv("FUZZ_PLAY")) {
-    // Repeats printed steps: FUZZ_SEED=N FUZZ_PLAY="submit(0,1,8), ..."
+    // Replays printed steps: FUZZ_SEED=N FUZZ_PLAY="submit(0,1,8), ..."
     const char* seed = std::getenv("FUZZ_SEED");
     const std::string violation =
-        Play(seed == nullptr ? 1 : std::strtoull(seed, nullptr, 10),
-             ReadSteps(steps));
+        RunSteps(seed == nullptr ? 1 : std::strtoull(seed, nullptr, 10),
+                 ParseSteps(steps));
     BOOST_TEST(violation == "");
     return;
   }
-  BOOST_TEST(Hold("promises hold under any faults", AnyStep));
+  BOOST_TEST(CheckProperty("promises hold under any faults", AnyStep));
 }
 
 }  // namespace lavenderkeel::fuzz
--- a/test/fuzz/oracle.cc
+++ b/test/fuzz/oracle.cc
@@ -20,7 +20,7 @@
   return "";
 }
 
-std::string Expected(const Oracle::Logical& logical) {
+std::string ExpectedText(const Oracle::LogicalRequest& logical) {
   std::string text;
   for (uint32_t i = 0; i < logical.tokens; ++i) {
     text += fakes::EngineCore::TextOf(logical.word, i);
@@ -28,7 +28,8 @@
   return text;
 }
 
-/// Joins the texts of server-sent events; "?" if they don't end in [DONE].
+/// Joins the texts of server-sent events; starts with "?" if they don't end in
+/// [DONE].
 std::string TextOfStream(const std::string& bytes) {
   std::string text;
   bool done = false;
@@ -55,7 +56,7 @@
                       const std::string& word,
                       bool repeatable,
                       uint32_t tokens) {
-  Logical& logical = logical_[word];
+  LogicalRequest& logical = logical_[word];
   logical.word = word;
   logical.repeatable = repeatable;
   logical.tokens = tokens;
@@ -68,37 +69,39 @@
 }
 
 void Oracle::OnStart(const std::string& prompt) {
-  Logical& logical = logical_[prompt.substr(0, prompt.find(' '))];
+  LogicalRequest& logical = logical_[prompt.substr(0, prompt.find(' '))];
   ++logical.starts;
   if (!logical.repeatable && logical.starts > 1) {
-    Violate(logical.word + " was started twice");
+    AddViolation(logical.word + " was started twice");
   }
   if (!logical.repeatable && logical.outstanding <= 0) {
-    Violate(logical.word + " was started after all were told it did not run");
+    AddViolation(
+        logical.word +
+        " was started after all callers were told that it did not run");
   }
 }
 
-void Oracle::OnCut(CallerId caller) {
-  // It may still run; nobody was told otherwise.
+void Oracle::OnDisconnect(CallerId caller) {
+  // The request may still run: it was not reported as not run.
   callers_.erase(caller);
 }
 
-void Oracle::Told(CallerId id, ResultCode code) {
+void Oracle::OnOutcome(CallerId id, ResultCode code) {
   const auto found = callers_.find(id);
   if (found == callers_.end()) {
-    Violate("caller " + std::to_string(id) + " got a second outcome");
+    AddViolation("caller " + std::to_string(id) + " got a second outcome");
     return;
   }
-  Logical& logical = logical_[found->second.word];
-  ++told_[code];
+  LogicalRequest& logical = logical_[found->second.word];
+  ++outcome_counts_[code];
   const Outcome outcome = Describe(code).outcome;
   const bool about_running = code != ResultCode::kNotFound &&
                              code != ResultCode::kKeyReused &&
                              !found->second.reads_only;
   if (outcome == Outcome::kNotRun && about_running && !logical.repeatable) {
     if (logical.starts > 0) {
-      Violate(logical.word + " ran, but its caller was told " +
-              std::string(Describe(code).name));
+      AddViolation(logical.word + " ran, but its caller was told " +
+                   std::string(Describe(code).name));
     }
     --logical.outstanding;
   }
@@ -108,14 +111,14 @@
   callers_.erase(found);
 }
 
-void Oracle::CheckWhole(const Caller& caller, const std::string& text) {
-  Logical& logical = logical_[caller.word];
+void Oracle::CheckAnswer(const Caller& caller, const std::string& text) {
+  LogicalRequest& logical = logical_[caller.word];
   logical.answered = true;
-  if (text != Expected(logical)) {
-    Violate(caller.word + " got a cut or foreign answer: " + text);
+  if (text != ExpectedText(logical)) {
+    AddViolation(caller.word + " got an incomplete or foreign answer: " + text);
   }
   if (logical.starts == 0) {
-    Violate(caller.word + " was answered without a run");
+    AddViolation(caller.word + " was answered without a run");
   }
 }
 
@@ -125,19 +128,20 @@
   const auto found = callers_.find(reply.caller);
   if (found != callers_.end() && reply.status == 200) {
     const json::value body = json::parse(reply.body);
-    CheckWhole(found->second,
-               body.at("choices").at(0).at("text").as_string().c_str());
+    CheckAnswer(found->second,
+                body.at("choices").at(0).at("text").as_string().c_str());
   }
   if (found != callers_.end() && found->second.streaming) {
-    Violate(found->second.word + " got a whole reply after a stream's head");
+    AddViolation(found->second.word +
+                 " got a whole reply after a stream's head");
   }
-  Told(reply.caller, code);
+  OnOutcome(reply.caller, code);
 }
 
 void Oracle::OnReply(const ReplyHead& reply) {
   const auto found = callers_.find(reply.caller);
   if (found == callers_.end() || found->second.streaming) {
-    Violate("a second head for caller " + std::to_string(reply.caller));
+    AddViolation("a second head for caller " + std::to_string(reply.caller));
     return;
   }
   found->second.streaming = true;
@@ -153,14 +157,14 @@
 void Oracle::OnReply(const ReplyEnd& reply) {
   const auto found = callers_.find(reply.caller);
   if (found != callers_.end()) {
-    CheckWhole(found->second, TextOfStream(found->second.bytes));
+    CheckAnswer(found->second, TextOfStream(found->second.bytes));
   }
-  Told(reply.caller, ResultCode::kAnswered);
+  OnOutcome(reply.caller, ResultCode::kAnswered);
 }
 
 void Oracle::OnReply(const ReplyAbort& reply) {
-  // The caller sees a broken connection: it may have run.
-  Told(reply.caller, ResultCode::kServerLost);
+  // The caller's connection breaks, so the request may have run.
+  OnOutcome(reply.caller, ResultCode::kServerLost);
 }
 
 std::string Oracle::DescribeOpen() const {
@@ -173,7 +177,7 @@
 
 std::string Oracle::Summary() const {
   std::string text;
-  for (const auto& [code, count] : told_) {
+  for (const auto& [code, count] : outcome_counts_) {
     text +=
         std::string(Describe(code).name) + "=" + std::to_string(count) + " ";
   }
--- a/test/fuzz/oracle.h
+++ b/test/fuzz/oracle.h
@@ -12,29 +12,32 @@
 
 namespace lavenderkeel::fuzz {
 
-/// Knows only what callers sent and were told, and what engines ran.
+/// Checks the system's guarantees as a black box: from the requests and replies
+/// of callers and the starts of engines.
 class Oracle {
  public:
-  struct Logical {
+  /// A logical request: one key, submitted once or several times.
+  struct LogicalRequest {
     std::string word;
     bool repeatable = false;
     uint32_t tokens = 0;
     uint32_t starts = 0;
-    /// Submissions that may still run: sent, and not told "not run".
+    /// Submissions that may still run: sent, and not reported as not run.
     int outstanding = 0;
     bool answered = false;
   };
 
-  /// @param word names the logical request: the first word of its prompt
+  /// @param word the first word of the prompt, which identifies the logical
+  ///     request
   void OnSubmit(CallerId caller,
                 const std::string& word,
                 bool repeatable,
                 uint32_t tokens);
-  /// A read of the answer; it may not run anything.
+  /// Registers a caller that only reads the answer, which must not start a run.
   void OnRead(CallerId caller, const std::string& word);
   void OnStart(const std::string& prompt);
-  /// The caller's connection broke before an outcome.
-  void OnCut(CallerId caller);
+  /// Handles a caller's connection that broke before an outcome.
+  void OnDisconnect(CallerId caller);
 
   void OnReply(const ReplyWhole& reply);
   void OnReply(const ReplyHead& reply);
@@ -42,14 +45,16 @@
   void OnReply(const ReplyEnd& reply);
   void OnReply(const ReplyAbort& reply);
 
-  void Violate(std::string what) { violations_.push_back(std::move(what)); }
+  void AddViolation(std::string what) {
+    violations_.push_back(std::move(what));
+  }
   const std::vector<std::string>& violations() const { return violations_; }
-  /// Callers that have no final outcome yet.
+  /// Number of callers that have no final outcome yet.
   size_t open() const { return callers_.size(); }
   std::string DescribeOpen() const;
   size_t Count(ResultCode code) const {
-    const auto found = told_.find(code);
-    return found == told_.end() ? 0 : found->second;
+    const auto found = outcome_counts_.find(code);
+    return found == outcome_counts_.end() ? 0 : found->second;
   }
   std::string Summary() const;
 
@@ -61,12 +66,12 @@
     std::string bytes;
   };
 
-  void Told(CallerId caller, ResultCode code);
-  void CheckWhole(const Caller& caller, const std::string& text);
+  void OnOutcome(CallerId caller, ResultCode code);
+  void CheckAnswer(const Caller& caller, const std::string& text);
 
-  std::map<std::string, Logical> logical_;
+  std::map<std::string, LogicalRequest> logical_;
   std::map<CallerId, Caller> callers_;
-  std::map<ResultCode, size_t> told_;
+  std::map<ResultCode, size_t> outcome_counts_;
   std::vector<std::string> violations_;
 };
 
--- a/test/fuzz/step.h
+++ b/test/fuzz/step.h
@@ -8,7 +8,8 @@
 
 namespace lavenderkeel::fuzz {
 
-/// One step: what is done, to whom, and how long the system then runs.
+/// Step of a fuzzing sequence: an action, and the time for which the simulation
+/// then runs.
 struct Step {
   enum Kind : uint8_t {
     kSubmit,
@@ -25,7 +26,7 @@
     kPartition,
     kHeal,
     kPlatformOutage,
-    kPlatformLoses,
+    kPlatformLosesAnswers,
     kPlatformSlow,
     kApply,
     kPreset,
@@ -36,28 +37,32 @@
     kCrash,
     kWait,
     kCrashEngine,
-    /// Those up to here are drawn by AnyStep.
-    kKinds,
-    kSubmitEverywhere = kKinds,
+    /// Number of kinds that AnyStep generates.
+    kGeneratedKinds,
+    kSubmitEverywhere = kGeneratedKinds,
     kAllKinds,
   };
   uint8_t kind = 0;
-  uint8_t a = 0;
-  uint8_t b = 0;
+  /// Index of the process, entry or agent, modulo their number.
+  uint8_t target = 0;
+  /// Depends on the kind: the second process, the earlier request or a
+  /// parameter.
+  uint8_t argument = 0;
   uint16_t wait_ms = 0;
 };
 
 std::ostream& operator<<(std::ostream& out, const Step& step);
 
-/// Reads steps as they are printed: "submit(0,1,8), kill(8,0,0)".
-std::vector<Step> ReadSteps(const std::string& text);
+/// Parses steps in the format of operator<<: "submit(0,1,8), kill(8,0,0)".
+std::vector<Step> ParseSteps(const std::string& text);
 
-/// Plays the steps in a world of that seed, then ends all faults.
+/// Runs the steps in a simulation with that seed, then ends all faults and
+/// checks recovery.
 ///
-/// With FUZZ_LOG set, what the components log goes to standard error; with
-/// FUZZ_VERBOSE, a summary of what callers were told.
-/// @return the first promise that was broken; empty if all hold
-std::string Play(uint64_t seed, const std::vector<Step>& steps);
+/// With FUZZ_LOG set, the log of all components goes to standard error; with
+/// FUZZ_VERBOSE, the number of outcomes per result code.
+/// @return the first violated guarantee; empty if all hold
+std::string RunSteps(uint64_t seed, const std::vector<Step>& steps);
 
 }  // namespace lavenderkeel::fuzz
 
--- a/test/fuzz/virtual_clock.h
+++ b/test/fuzz/virtual_clock.h
@@ -5,14 +5,16 @@
 
 namespace lavenderkeel::fuzz {
 
-/// A clock that a test sets. Calendar clocks of processes may differ.
+/// Clock that a test sets. Clocks of processes follow a common clock; their
+/// calendar times may be skewed.
 class VirtualClock final : public Clock {
  public:
-  explicit VirtualClock(const VirtualClock* world = nullptr, Duration skew = {})
-      : world_(world), skew_(skew) {}
+  explicit VirtualClock(const VirtualClock* common = nullptr,
+                        Duration skew = {})
+      : common_(common), skew_(skew) {}
 
   TimePoint Now() const override {
-    return world_ == nullptr ? now_ : world_->Now();
+    return common_ == nullptr ? now_ : common_->Now();
   }
   WallTime WallNow() const override {
     constexpr Duration kEpoch = std::chrono::hours(500'000);
@@ -23,7 +25,7 @@
   void Advance(Duration by) { now_ += by; }
 
  private:
-  const VirtualClock* world_;
+  const VirtualClock* common_;
   Duration skew_;
   TimePoint now_ = TimePoint(std::chrono::hours(1));
 };
--- a/test/fuzz/world.cc
+++ b/test/fuzz/world.cc
@@ -16,12 +16,13 @@
 constexpr Duration kCallTimeout = std::chrono::seconds(2);
 constexpr Duration kWatchPoll = std::chrono::milliseconds(100);
 constexpr Duration kDialTimeout = std::chrono::seconds(1);
-/// Events under way between all processes; far more than any load here needs.
-constexpr size_t kMostUnderWay = 50'000;
-/// From the start of a deadly prompt to the end of its engine, and from there
-/// to the engine's next start.
-constexpr Duration kCrashesAfter = std::chrono::milliseconds(60);
-constexpr Duration kDeadlyDown = std::chrono::seconds(3);
+/// Limit of pending events of all processes, to detect unbounded messages. Far
+/// more than any load of the tests needs.
+constexpr size_t kMaxPendingEvents = 50'000;
+/// From the start of a crashing prompt to the crash of its engine.
+constexpr Duration kCrashDelay = std::chrono::milliseconds(60);
+/// From the crash to the restart of the engine.
+constexpr Duration kCrashDowntime = std::chrono::seconds(3);
 constexpr char kTeamKey[] = "team-key";
 constexpr char kOperatorKey[] = "operator-key";
 
@@ -67,18 +68,18 @@
   Outbox& outbox() { return entry ? entry->outbox() : agent->outbox(); }
 };
 
-struct World::WorldLink {
+struct World::PeerLink {
   size_t ends[2] = {};
   uint64_t incarnations[2] = {};
   bool open[2] = {true, true};
-  bool silent = false;
+  bool stalled = false;
   TimePoint last_delivery[2];
 };
 
 struct World::EngineStream {
   std::string request_id;
   size_t next = 0;
-  bool silent = false;
+  bool stalled = false;
 };
 
 World::World(Options options)
@@ -131,11 +132,12 @@
     const Process& process = *processes_[options_.entries + agent];
     constexpr Duration kBound = std::chrono::seconds(3);
     if (process.left && clock_.Now() - process.left_at > kBound) {
-      oracle_.Violate(process.info.id.instance + " got work after leaving");
+      oracle_.AddViolation(process.info.id.instance +
+                           " got work after leaving");
     }
-    if (deadly_.contains(prompt.substr(0, prompt.find(' ')))) {
-      At(clock_.Now() + kCrashesAfter,
-         [this, agent] { CrashEngine(agent, kDeadlyDown); });
+    if (crashing_words_.contains(prompt.substr(0, prompt.find(' ')))) {
+      Schedule(clock_.Now() + kCrashDelay,
+               [this, agent] { CrashEngine(agent, kCrashDowntime); });
     }
   };
 }
@@ -149,13 +151,13 @@
   MakeEngine(agent);
   const size_t index = options_.entries + agent;
   for (const auto& [run, stream] : processes_[index]->streams) {
-    TellServerEnd(index, run, ServerEnd::kBroken);
+    ScheduleServerEnd(index, run, ServerEnd::kBroken);
   }
   processes_[index]->streams.clear();
 }
 
-void World::TellServerEnd(size_t index, RunId run, ServerEnd end) {
-  In(index, clock_.Now() + Delay(), [this, index, run, end] {
+void World::ScheduleServerEnd(size_t index, RunId run, ServerEnd end) {
+  ScheduleIn(index, clock_.Now() + Delay(), [this, index, run, end] {
     processes_[index]->agent->gate().server().OnServerEnd(run, end);
   });
 }
@@ -188,24 +190,27 @@
   return Duration(500 + static_cast<int64_t>(random_() % 3000));
 }
 
-void World::At(TimePoint when, std::function<void()> task) {
+void World::Schedule(TimePoint when, std::function<void()> task) {
   queue_[{when, ++last_event_}] = std::move(task);
 }
 
-void World::In(size_t index, TimePoint when, std::function<void()> task) {
-  At(when, [this, index, life = processes_[index]->info.id.incarnation,
+void World::ScheduleIn(size_t index,
+                       TimePoint when,
+                       std::function<void()> task) {
+  Schedule(when,
+           [this, index, incarnation = processes_[index]->info.id.incarnation,
             task = std::move(task)]() mutable {
-    Process& process = *processes_[index];
-    if (!process.alive || process.info.id.incarnation != life) {
-      return;
-    }
-    if (process.frozen_until > clock_.Now()) {
-      In(index, process.frozen_until, std::move(task));
-      return;
-    }
-    task();
-    Settle(index);
-  });
+             Process& process = *processes_[index];
+             if (!process.alive || process.info.id.incarnation != incarnation) {
+               return;
+             }
+             if (process.frozen_until > clock_.Now()) {
+               ScheduleIn(index, process.frozen_until, std::move(task));
+               return;
+             }
+             task();
+             ExecuteActions(index);
+           });
 }
 
 void World::RunFor(Duration duration) {
@@ -213,14 +218,14 @@
   RunUntil([this, end] { return clock_.Now() >= end; }, duration);
 }
 
-bool World::RunUntil(const std::function<bool()>& condition, Duration most) {
-  const TimePoint end = clock_.Now() + most;
+bool World::RunUntil(const std::function<bool()>& condition, Duration timeout) {
+  const TimePoint end = clock_.Now() + timeout;
   while (!condition()) {
     if (clock_.Now() >= end) {
       return false;
     }
-    if (queue_.size() > kMostUnderWay) {
-      oracle_.Violate("messages without bound");
+    if (queue_.size() > kMaxPendingEvents) {
+      oracle_.AddViolation("unbounded number of messages");
       return false;
     }
     const bool event_first =
@@ -251,10 +256,10 @@
       process.entry->Tick();
       CheckVersions(i);
     } else {
-      FeedStreams(i);
+      DeliverStreamEvents(i);
       process.agent->Tick();
     }
-    Settle(i);
+    ExecuteActions(i);
     const bool done =
         process.left &&
         (process.entry ? process.entry->CanExit() : process.agent->CanExit());
@@ -268,8 +273,8 @@
   Process& process = *processes_[index];
   const uint64_t version = process.entry->config().version();
   if (version < process.version) {
-    oracle_.Violate(process.info.id.instance + " went back from version " +
-                    std::to_string(process.version));
+    oracle_.AddViolation(process.info.id.instance + " went back from version " +
+                         std::to_string(process.version));
   }
   process.version = version;
 }
@@ -290,9 +295,9 @@
   process.info.id.incarnation = ++last_incarnation_;
   process.info.address =
       process.info.id.instance + ":" + std::to_string(last_incarnation_);
-  constexpr int64_t kMostSkewMs = 300;
+  constexpr int64_t kMaxSkewMs = 300;
   const Duration skew = std::chrono::milliseconds(
-      static_cast<int64_t>(random_() % (2 * kMostSkewMs)) - kMostSkewMs);
+      static_cast<int64_t>(random_() % (2 * kMaxSkewMs)) - kMaxSkewMs);
   process.clock = std::make_unique<VirtualClock>(&clock_, skew);
   process.log = LogOf(index);
   process.entry.reset();
@@ -313,7 +318,7 @@
                                                 process.log, process.metrics);
     process.agent->Start(process.info.address);
   }
-  Settle(index);
+  ExecuteActions(index);
 }
 
 void World::Kill(size_t index, bool silently) {
@@ -325,20 +330,20 @@
   for (auto& [id, link] : links_) {
     for (const int end : {0, 1}) {
       if (link->ends[end] == index && link->open[end]) {
-        link->silent |= silently;
+        link->stalled |= silently;
         CloseLinkFrom(index, id);
       }
     }
   }
-  std::vector<CallerId> cut;
+  std::vector<CallerId> disconnected;
   for (const auto& [caller, at] : caller_at_) {
     if (at == index) {
-      cut.push_back(caller);
+      disconnected.push_back(caller);
     }
   }
-  for (const CallerId caller : cut) {
+  for (const CallerId caller : disconnected) {
     caller_at_.erase(caller);
-    oracle_.OnCut(caller);
+    oracle_.OnDisconnect(caller);
   }
 }
 
@@ -353,7 +358,7 @@
   if (!process.alive || process.left) {
     return;
   }
-  In(index, clock_.Now(), [this, index] {
+  ScheduleIn(index, clock_.Now(), [this, index] {
     Process& leaver = *processes_[index];
     leaver.left = true;
     leaver.left_at = clock_.Now();
@@ -365,17 +370,17 @@
   });
 }
 
-void World::SilenceLinks(size_t a, size_t b) {
+void World::StallLinks(size_t a, size_t b) {
   for (auto& [id, link] : links_) {
     const bool joins = (link->ends[0] == a && link->ends[1] == b) ||
                        (link->ends[0] == b && link->ends[1] == a);
-    link->silent |= joins;
+    link->stalled |= joins;
   }
 }
 
 void World::Partition(size_t a, size_t b) {
   partitions_.insert(std::minmax(a, b));
-  SilenceLinks(a, b);
+  StallLinks(a, b);
 }
 
 void World::Heal() {
@@ -384,22 +389,22 @@
   platform_delay_ = std::chrono::milliseconds(5);
 }
 
-void World::Settle(size_t index) {
+void World::ExecuteActions(size_t index) {
   Process& process = *processes_[index];
   for (auto actions = process.outbox().Take(); !actions.empty();
        actions = process.outbox().Take()) {
     for (Action& action : actions) {
       if (auto* send = std::get_if<SendMessage>(&action)) {
-        Carry(index, *send);
+        Execute(index, *send);
       } else if (const auto* close = std::get_if<CloseLink>(&action)) {
         CloseLinkFrom(index, close->link);
       } else if (const auto* dial = std::get_if<Dial>(&action)) {
-        Carry(index, *dial);
+        Execute(index, *dial);
       } else if (const auto* call = std::get_if<PlatformCall>(&action)) {
         ++platform_calls_;
-        Carry(index, *call,
-              clock_.Now() +
-                  std::chrono::milliseconds(call->wait_ms.value_or(0)));
+        Execute(index, *call,
+                clock_.Now() +
+                    std::chrono::milliseconds(call->wait_ms.value_or(0)));
       } else if (const auto* whole = std::get_if<ReplyWhole>(&action)) {
         caller_at_.erase(whole->caller);
         if (operator_replies_.contains(whole->caller)) {
@@ -411,9 +416,10 @@
         oracle_.OnReply(*head);
       } else if (const auto* data = std::get_if<ReplyData>(&action)) {
         oracle_.OnReply(*data);
-        In(index, clock_.Now() + Delay(), [this, index, id = data->caller] {
-          processes_[index]->entry->OnCallerDrained(id);
-        });
+        ScheduleIn(index, clock_.Now() + Delay(),
+                   [this, index, id = data->caller] {
+                     processes_[index]->entry->OnCallerDrained(id);
+                   });
       } else if (const auto* end = std::get_if<ReplyEnd>(&action)) {
         caller_at_.erase(end->caller);
         oracle_.OnReply(*end);
@@ -421,24 +427,24 @@
         caller_at_.erase(abort->caller);
         oracle_.OnReply(*abort);
       } else {
-        CarryServer(index, action);
+        ExecuteServerAction(index, action);
       }
     }
   }
 }
 
-void World::Carry(size_t index, SendMessage& send) {
+void World::Execute(size_t index, SendMessage& send) {
   const auto found = links_.find(send.link);
   if (found == links_.end()) {
     return;
   }
-  WorldLink& link = *found->second;
+  PeerLink& link = *found->second;
   const int from = link.ends[0] == index ? 0 : 1;
   const int to = 1 - from;
-  if (!link.open[from] || link.silent) {
+  if (!link.open[from] || link.stalled) {
     return;
   }
-  // Through the codec, as between real processes.
+  // Encodes and decodes the message, as between real processes.
   const std::string frame = EncodeFrame(send.message);
   const std::vector<uint8_t> bytes(frame.begin(), frame.end());
   processes_[index]->bytes_sent += frame.size();
@@ -448,21 +454,21 @@
       std::max(link.last_delivery[to], clock_.Now() + Delay());
   link.last_delivery[to] = when;
   const size_t target = link.ends[to];
-  In(target, when,
-     [this, target, id = send.link, to,
-      shared = std::make_shared<Message>(*std::move(message.value))] {
-       const auto position = links_.find(id);
-       if (position == links_.end() || !position->second->open[to] ||
-           position->second->silent) {
-         return;
-       }
-       Process& process = *processes_[target];
-       if (process.entry) {
-         process.entry->OnMessage(id, *shared);
-       } else {
-         process.agent->OnMessage(id, *shared);
-       }
-     });
+  ScheduleIn(target, when,
+             [this, target, id = send.link, to,
+              shared = std::make_shared<Message>(*std::move(message.value))] {
+               const auto position = links_.find(id);
+               if (position == links_.end() || !position->second->open[to] ||
+                   position->second->stalled) {
+                 return;
+               }
+               Process& process = *processes_[target];
+               if (process.entry) {
+                 process.entry->OnMessage(id, *shared);
+               } else {
+                 process.agent->OnMessage(id, *shared);
+               }
+             });
 }
 
 void World::CloseLinkFrom(size_t index, LinkId id) {
@@ -470,19 +476,19 @@
   if (found == links_.end()) {
     return;
   }
-  WorldLink& link = *found->second;
+  PeerLink& link = *found->second;
   const int from = link.ends[0] == index ? 0 : 1;
   const int to = 1 - from;
   link.open[from] = false;
-  if (!link.open[to] || link.silent) {
+  if (!link.open[to] || link.stalled) {
     return;
   }
   const size_t target = link.ends[to];
   const TimePoint when =
       std::max(link.last_delivery[to], clock_.Now() + Delay());
-  In(target, when, [this, target, id, to] {
-    WorldLink& closed = *links_.at(id);
-    if (!closed.open[to] || closed.silent) {
+  ScheduleIn(target, when, [this, target, id, to] {
+    PeerLink& closed = *links_.at(id);
+    if (!closed.open[to] || closed.stalled) {
       return;
     }
     closed.open[to] = false;
@@ -495,7 +501,7 @@
   });
 }
 
-void World::Carry(size_t index, const Dial& dial) {
+void World::Execute(size_t index, const Dial& dial) {
   size_t target = processes_.size();
   for (size_t i = 0; i < processes_.size(); ++i) {
     if (processes_[i]->alive && processes_[i]->info.address == dial.address) {
@@ -506,20 +512,21 @@
                          !partitions_.contains(std::minmax(index, target)) &&
                          processes_[target]->frozen_until <= clock_.Now();
   if (!reachable) {
-    In(index, clock_.Now() + kDialTimeout, [this, index, to = dial.address] {
-      Process& process = *processes_[index];
-      if (process.entry) {
-        process.entry->OnDialFailed(to);
-      } else {
-        process.agent->OnDialFailed(to);
-      }
-    });
+    ScheduleIn(index, clock_.Now() + kDialTimeout,
+               [this, index, to = dial.address] {
+                 Process& process = *processes_[index];
+                 if (process.entry) {
+                   process.entry->OnDialFailed(to);
+                 } else {
+                   process.agent->OnDialFailed(to);
+                 }
+               });
     return;
   }
   LinkUp(index, target, dial.address);
 }
 
-InstanceInfo World::Greeting(size_t index) const {
+InstanceInfo World::HandshakeInfo(size_t index) const {
   const Process& process = *processes_[index];
   InstanceInfo info = process.info;
   info.no_claims = process.entry && process.entry->members().self().no_claims;
@@ -528,7 +535,7 @@
 
 void World::LinkUp(size_t from, size_t to, const std::string& address) {
   const LinkId id = ++last_link_;
-  auto link = std::make_unique<WorldLink>();
+  auto link = std::make_unique<PeerLink>();
   link->ends[0] = from;
   link->ends[1] = to;
   const TimePoint when = clock_.Now() + Delay();
@@ -546,31 +553,37 @@
       process.agent->OnLinkUp(id, peer, dialed);
     }
   };
-  In(to, when, [up, to, peer = Greeting(from)] { up(to, peer, ""); });
-  In(from, when,
-     [up, from, peer = Greeting(to), address] { up(from, peer, address); });
+  ScheduleIn(to, when,
+             [up, to, peer = HandshakeInfo(from)] { up(to, peer, ""); });
+  ScheduleIn(from, when, [up, from, peer = HandshakeInfo(to), address] {
+    up(from, peer, address);
+  });
 }
 
-void World::Carry(size_t index,
-                  const PlatformCall& call,
-                  TimePoint watch_until) {
+void World::Execute(size_t index,
+                    const PlatformCall& call,
+                    TimePoint watch_until) {
   const Duration delay = platform_delay_ + Delay();
-  const uint64_t life = processes_[index]->info.id.incarnation;
-  At(clock_.Now() + delay, [this, index, call, watch_until, delay, life] {
-    // The call takes effect also if its caller has died meanwhile.
+  const uint64_t incarnation = processes_[index]->info.id.incarnation;
+  Schedule(clock_.Now() + delay, [this, index, call, watch_until, delay,
+                                  incarnation] {
+    // The call takes effect even if the calling process has ended meanwhile.
     const PlatformReply reply = platform_.Handle(call);
-    if (processes_[index]->info.id.incarnation != life) {
+    if (processes_[index]->info.id.incarnation != incarnation) {
       return;
     }
-    const bool hold = reply.status == 304 && clock_.Now() < watch_until;
-    if (hold) {
-      In(index, clock_.Now() + kWatchPoll,
-         [this, index, call, watch_until] { Carry(index, call, watch_until); });
+    const bool keep_waiting = reply.status == 304 && clock_.Now() < watch_until;
+    if (keep_waiting) {
+      ScheduleIn(index, clock_.Now() + kWatchPoll,
+                 [this, index, call, watch_until] {
+                   Execute(index, call, watch_until);
+                 });
       return;
     }
-    // A slow platform takes the write, but its answer comes too late.
+    // A slow platform executes the call, but its answer arrives after the
+    // caller's timeout.
     const bool late = 2 * delay > kCallTimeout && !call.wait_ms.has_value();
-    In(index, clock_.Now() + delay, [this, index, call, reply, late] {
+    ScheduleIn(index, clock_.Now() + delay, [this, index, call, reply, late] {
       ReplyToPlatformCall(index, call.call, late ? PlatformReply() : reply);
     });
   });
@@ -587,19 +600,19 @@
   }
 }
 
-void World::CarryServer(size_t index, const Action& action) {
+void World::ExecuteServerAction(size_t index, const Action& action) {
   Process& process = *processes_[index];
   fakes::EngineCore& engine = *engines_[index - options_.entries];
   const bool down = clock_.Now() < engine_up_at_[index - options_.entries];
   const auto* started = std::get_if<ServerStart>(&action);
   const auto* resumed = std::get_if<ServerResume>(&action);
   if (down && (started != nullptr || resumed != nullptr)) {
-    TellServerEnd(index, started != nullptr ? started->run : resumed->run,
-                  ServerEnd::kUnreachable);
+    ScheduleServerEnd(index, started != nullptr ? started->run : resumed->run,
+                      ServerEnd::kUnreachable);
     return;
   }
   if (resumed != nullptr && engine.Find(resumed->request_id) == nullptr) {
-    TellServerEnd(index, resumed->run, ServerEnd::kRefused);
+    ScheduleServerEnd(index, resumed->run, ServerEnd::kRefused);
     return;
   }
   if (const auto* start = std::get_if<ServerStart>(&action)) {
@@ -614,19 +627,19 @@
   } else if (const auto* cancel = std::get_if<ServerCancel>(&action)) {
     process.streams.erase(cancel->run);
     engine.Cancel(cancel->request_id);
-    In(index, clock_.Now() + Delay(), [this, index, run = cancel->run] {
+    ScheduleIn(index, clock_.Now() + Delay(), [this, index, run = cancel->run] {
       processes_[index]->agent->gate().server().OnServerCancelled(run);
     });
   }
 }
 
-void World::FeedStreams(size_t index) {
+void World::DeliverStreamEvents(size_t index) {
   Process& process = *processes_[index];
   const fakes::EngineCore& engine = *engines_[index - options_.entries];
   std::vector<RunId> ended;
   for (auto& [run, stream] : process.streams) {
     const fakes::EngineCore::Stream* source = engine.Find(stream.request_id);
-    if (stream.silent || source == nullptr) {
+    if (stream.stalled || source == nullptr) {
       continue;
     }
     for (; stream.next < source->events.size(); ++stream.next) {
@@ -653,9 +666,9 @@
     return;
   }
   for (auto& [run, stream] : process.streams) {
-    stream.silent = true;
+    stream.stalled = true;
     if (!silently) {
-      In(index, clock_.Now(), [this, index, id = run] {
+      ScheduleIn(index, clock_.Now(), [this, index, id = run] {
         processes_[index]->agent->gate().server().OnServerEnd(
             id, ServerEnd::kBroken);
       });
@@ -699,7 +712,7 @@
                                    {"stream", HashBytes(word) % 2 == 0}});
   oracle_.OnSubmit(caller, word, repeatable, tokens);
   caller_at_[caller] = index;
-  In(index, clock_.Now() + Delay(), [this, index, request] {
+  ScheduleIn(index, clock_.Now() + Delay(), [this, index, request] {
     processes_[index]->entry->OnCallerRequest(request);
   });
   return caller;
@@ -718,7 +731,7 @@
   request.path = "/v1/requests/" + key;
   oracle_.OnRead(caller, word);
   caller_at_[caller] = index;
-  In(index, clock_.Now() + Delay(), [this, index, request] {
+  ScheduleIn(index, clock_.Now() + Delay(), [this, index, request] {
     processes_[index]->entry->OnCallerRequest(request);
   });
   return caller;
@@ -741,7 +754,7 @@
     return caller;
   }
   operator_replies_[caller] = 0;
-  In(index, clock_.Now() + Delay(), [this, index, request] {
+  ScheduleIn(index, clock_.Now() + Delay(), [this, index, request] {
     processes_[index]->entry->OnCallerRequest(request);
   });
   return caller;
--- a/test/fuzz/world.h
+++ b/test/fuzz/world.h
@@ -19,30 +19,30 @@
 
 namespace lavenderkeel::fuzz {
 
-/// A few entries and agents with an engine each and one platform, stepped under
-/// a virtual clock: the very components of the daemons between delayed
-/// messages, silent links, deaths and freezes.
+/// Simulation of entries, agents with one engine each, and a platform, under a
+/// virtual clock. Runs the components of the daemons and injects message
+/// delays, stalled links, crashes and freezes.
 class World {
  public:
   struct Options {
     size_t entries = 3;
     size_t agents = 3;
     uint64_t seed = 1;
-    /// Waited by callers with a deadline.
+    /// Options of every entry and of every agent.
     EntryNode::Options entry;
     AgentNode::Options agent;
-    /// Gets each line that a process logs, with the time and its name before
-    /// it.
+    /// Called with each line that a process logs, prefixed with the time and
+    /// the instance.
     std::function<void(const std::string& line)> log;
   };
 
   explicit World(Options options);
   ~World();
 
-  // What a test brings about.
+  // Actions and faults.
   void RunFor(Duration duration);
-  /// @return true once the condition holds, false after `most`
-  bool RunUntil(const std::function<bool()>& condition, Duration most);
+  /// @return true once the condition holds, false after `timeout`
+  bool RunUntil(const std::function<bool()>& condition, Duration timeout);
   CallerId Submit(size_t entry,
                   const std::string& key,
                   const std::string& word,
@@ -52,24 +52,33 @@
   CallerId Read(size_t entry, const std::string& key, const std::string& word);
   void Delete(size_t entry, const std::string& key);
   std::string NewKey();
-  /// @return the caller whose reply says how the change went
+  /// @return the caller whose reply tells whether the change was accepted
   CallerId Apply(size_t entry, const std::string& marker);
   CallerId UsePreset(size_t entry, const std::string& preset);
+  /// Ends a process.
+  ///
+  /// @param silently whether its peers get no notice that their links have
+  /// closed
   void Kill(size_t process, bool silently);
   void Restart(size_t process);
   void Freeze(size_t process, Duration duration);
   void Leave(size_t process);
-  /// Every open connection between the two goes silent; new ones work.
-  void SilenceLinks(size_t a, size_t b);
-  /// No connection between the two until healed.
+  /// Stalls every open connection between the two processes without an error.
+  /// New connections work.
+  void StallLinks(size_t a, size_t b);
+  /// Blocks all connections between the two processes until Heal().
   void Partition(size_t a, size_t b);
   void Heal();
+  /// Stalls the streams from an agent's engine to the agent.
+  ///
+  /// @param silently whether the agent gets no notice that they have ended
   void BreakServerStreams(size_t agent, bool silently);
-  /// Engines end soon after they start a prompt that begins with this word.
-  void SetDeadly(const std::string& word) { deadly_.insert(word); }
-  /// The engine ends, forgets its streams and starts again after that time.
+  /// Makes engines crash soon after they start a prompt that begins with this
+  /// word.
+  void SetDeadly(const std::string& word) { crashing_words_.insert(word); }
+  /// Crashes the engine, which loses its streams and restarts after `down`.
   void CrashEngine(size_t agent, Duration down);
-  /// When engines ended, in order.
+  /// Times of the engines' crashes, in ascending order.
   const std::vector<TimePoint>& engine_ends() const { return engine_ends_; }
 
   size_t entries() const { return options_.entries; }
@@ -82,42 +91,45 @@
   void set_platform_delay(Duration delay) { platform_delay_ = delay; }
   Oracle& oracle() { return oracle_; }
   VirtualClock& clock() { return clock_; }
-  /// What an operator was told: accepted (200), or the status.
-  /// Bytes and messages that a process has sent to its peers.
+  /// Bytes that a process has sent to its peers.
   uint64_t bytes_sent(size_t process) const;
+  /// Messages that a process has sent to its peers.
   uint64_t messages_sent(size_t process) const;
-  /// Calls made on the platform; a waiting watch is one.
+  /// Number of calls to the platform; a waiting watch counts as one.
   uint64_t platform_calls() const { return platform_calls_; }
+  /// HTTP status of each operator request: 200 if accepted, zero before the
+  /// reply.
   const std::map<CallerId, int>& operator_replies() const {
     return operator_replies_;
   }
 
  private:
   struct Process;
-  struct WorldLink;
+  struct PeerLink;
   struct EngineStream;
 
-  void At(TimePoint when, std::function<void()> task);
-  /// Runs in a process unless it died; waits while it is frozen.
-  void In(size_t process, TimePoint when, std::function<void()> task);
+  void Schedule(TimePoint when, std::function<void()> task);
+  /// Schedules a task in a process. The task is dropped if the process ends
+  /// before, and delayed while the process is frozen.
+  void ScheduleIn(size_t process, TimePoint when, std::function<void()> task);
   void TickAll();
-  void Settle(size_t process);
-  void Carry(size_t process, SendMessage& send);
-  void Carry(size_t process, const Dial& dial);
-  void Carry(size_t process, const PlatformCall& call, TimePoint watch_until);
-  void CarryServer(size_t process, const Action& action);
+  void ExecuteActions(size_t process);
+  void Execute(size_t process, SendMessage& send);
+  void Execute(size_t process, const Dial& dial);
+  void Execute(size_t process, const PlatformCall& call, TimePoint watch_until);
+  void ExecuteServerAction(size_t process, const Action& action);
   void CloseLinkFrom(size_t process, LinkId link);
   EventLog LogOf(size_t process);
-  /// What the process would say of itself now.
-  InstanceInfo Greeting(size_t index) const;
+  /// Handshake information that the process would send now.
+  InstanceInfo HandshakeInfo(size_t index) const;
   void LinkUp(size_t from, size_t to, const std::string& address);
-  void FeedStreams(size_t process);
+  void DeliverStreamEvents(size_t process);
   void ReplyToPlatformCall(size_t process,
                            PlatformCallId call,
                            const PlatformReply& reply);
   void CheckVersions(size_t process);
   void MakeEngine(size_t agent);
-  void TellServerEnd(size_t process, RunId run, ServerEnd end);
+  void ScheduleServerEnd(size_t process, RunId run, ServerEnd end);
   Duration Delay();
   CallerRequest MakeRequest(const std::string& key) const;
   CallerId SendOperator(size_t entry, CallerRequest request);
@@ -132,8 +144,8 @@
   std::vector<std::unique_ptr<fakes::EngineCore>> engines_;
   std::vector<TimePoint> engine_up_at_;
   std::vector<TimePoint> engine_ends_;
-  std::set<std::string> deadly_;
-  std::map<LinkId, std::unique_ptr<WorldLink>> links_;
+  std::set<std::string> crashing_words_;
+  std::map<LinkId, std::unique_ptr<PeerLink>> links_;
   std::set<std::pair<size_t, size_t>> partitions_;
   std::map<std::pair<TimePoint, uint64_t>, std::function<void()>> queue_;
   uint64_t last_event_ = 0;
