--- a/test/process/cluster.cc
+++ b/test/process/cluster.cc
@@ -18,8 +18,9 @@
 
 constexpr char kTeamKey[] = "board-key";
 constexpr char kOperatorKey[] = "operator-key";
-/// Far beyond what anything takes; reached only if it never comes.
-constexpr Duration kLongStop = std::chrono::seconds(90);
+/// Far longer than any expected wait; expires only if the condition never
+/// holds.
+constexpr Duration kWaitTimeout = std::chrono::seconds(90);
 
 }  // namespace
 
@@ -40,7 +41,7 @@
 
 Cluster::Cluster(Options options)
     : options_(std::move(options)), http_(loop_), random_(getpid()) {
-  // Turns the loop now and then, so that Wait sees its condition.
+  // Stops the loop periodically, so that Wait can test its condition.
   loop_.Every(std::chrono::milliseconds(5), [this] { loop_.Stop(); });
   const std::string bin = LAVENDERKEEL_BINARY_DIR;
   processes_.Spawn("platform", {bin + "/fake_platform", "127.0.0.1:0",
@@ -141,7 +142,7 @@
 }
 
 bool Cluster::Wait(const std::function<bool()>& condition) {
-  const TimePoint end = SystemClock().Now() + kLongStop;
+  const TimePoint end = SystemClock().Now() + kWaitTimeout;
   while (!condition()) {
     if (SystemClock().Now() > end) {
       return false;
@@ -167,8 +168,8 @@
       exchange->stream += bytes;
     };
   }
-  if (call.timeout < kLongStop) {
-    call.timeout = kLongStop;
+  if (call.timeout < kWaitTimeout) {
+    call.timeout = kWaitTimeout;
   }
   call.on_done = [exchange](const HttpResult& result) {
     exchange->done = true;
--- a/test/process/cluster.h
+++ b/test/process/cluster.h
@@ -14,27 +14,27 @@
 
 namespace lavenderkeel::test {
 
-/// A caller's request on its way: what has come back so far.
+/// A caller's request and what has been received of its answer so far.
 struct Exchange {
   bool done = false;
   HttpResult result;
   std::string stream;
-  /// A stream that ended as a whole one does.
-  bool whole() const {
+  /// Whether the complete answer has been received.
+  bool IsComplete() const {
     return stream.find("data: [DONE]") != std::string::npos ||
            (done && result.status == 200 && !result.body.empty());
   }
 };
 
-/// Real processes on loopback: stand-ins, entries and agents. All are killed
-/// when it goes.
+/// Entries, agents, fake engines and a fake platform as processes on loopback.
+/// The destructor kills all of them.
 class Cluster {
  public:
   struct Options {
     size_t entries = 2;
     size_t agents = 2;
     int step_ms = 5;
-    /// Agents are reached through relays of the test's own.
+    /// Whether entries reach agents through relays, which inject faults.
     bool relayed = false;
     std::string agent_tuning;
     std::string entry_tuning;
@@ -45,19 +45,24 @@
   Cluster(const Cluster&) = delete;
   Cluster& operator=(const Cluster&) = delete;
 
-  /// @param seed a peer address, or empty
+  /// @param seed the address of a peer to connect to first; may be empty
   void StartEntry(size_t index, const std::string& seed = "");
   void StartAgent(size_t index);
   void Signal(const std::string& name, int signal);
-  /// @return the exit status, waiting for the process to end
+  /// Waits for the process to end.
+  ///
+  /// @return the exit status; minus the signal that killed the process, if one
+  ///     did
   int Join(const std::string& name);
   bool Running(const std::string& name) const;
   pid_t Pid(const std::string& name) const { return processes_.Pid(name); }
 
   std::string NewKey();
-  /// Sends a request of the test's team. A key of "" has the entry mint one.
+  /// Sends a request of the test's team.
   ///
-  /// @param deadline zero: none is named
+  /// @param key the request key; if empty, the entry generates one
+  /// @param work the work class
+  /// @param deadline zero for none
   std::shared_ptr<Exchange> Ask(size_t entry,
                                 const std::string& key,
                                 const std::string& work,
@@ -65,7 +70,7 @@
                                 bool stream = false,
                                 const std::string& prompt = "Letter one",
                                 Duration deadline = Duration::zero());
-  /// @param stream collect the bytes as they come
+  /// @param stream whether to collect the body as it arrives
   std::shared_ptr<Exchange> Send(HttpClient::Call call, bool stream = false);
   HttpResult Call(const std::string& address,
                   const std::string& method,
@@ -76,10 +81,12 @@
                    const std::string& method,
                    const std::string& path,
                    const std::string& body = "");
-  /// Turns the loop until the condition holds; false after the long stop.
+  /// Runs the event loop until the condition holds.
+  ///
+  /// @return false on a timeout
   bool Wait(const std::function<bool()>& condition);
   bool WaitReady(size_t entry);
-  /// All entries have a live link to all agents.
+  /// Waits until each entry has a live link to every other entry and agent.
   bool WaitLinked();
 
   std::string Entry(size_t index) const {
@@ -90,12 +97,16 @@
   }
   std::string Platform() const { return address("platform", "http"); }
   std::string address(const std::string& name, const std::string& port) const;
+  /// Number of requests that the engines have started.
   uint64_t Starts();
+  /// Version of the configuration in force at the entry.
   uint64_t VersionAt(size_t entry);
   std::string Log(const std::string& name) const;
   Relay& relay(size_t agent) { return *relays_[agent]; }
   EventLoop& loop() { return loop_; }
-  /// The body of a configuration with these lookups' preset limits.
+  /// Returns a configuration document.
+  ///
+  /// @param marker name of an additional model, which tells documents apart
   static std::string ConfigText(const std::string& marker);
 
  private:
--- a/test/process/configuration_test.cc
+++ b/test/process/configuration_test.cc
@@ -1,4 +1,4 @@
-// Operators' changes over real processes, with the platform failing.
+// Configuration changes by operators, with real processes and platform faults.
 #include <boost/test/unit_test.hpp>
 #include <csignal>
 
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-// The platform goes down right after it accepted a preset. The accepting entry
-// tells its peers itself, so the preset is in force at all of them.
+// The platform fails right after it has accepted a preset. The accepting entry
+// distributes the preset to its peers, so it comes into force at all of them.
 BOOST_AUTO_TEST_CASE(PlatformDownRightAfterAcceptance) {
   Cluster cluster({.entries = 3, .agents = 1});
   BOOST_TEST(UsePreset(cluster, 0, "peak").status == 200);
@@ -26,8 +26,8 @@
   }
 }
 
-// The platform is down: a change is refused for certain, requests go on, and
-// when it is back the same change is accepted.
+// While the platform is down, a change is rejected with a definite result and
+// requests are still served. The same change is accepted after recovery.
 BOOST_AUTO_TEST_CASE(PlatformDownForLong) {
   Cluster cluster({.entries = 1, .agents = 1});
   cluster.Call(cluster.Platform(), "POST", "/fault/outage");
@@ -41,8 +41,8 @@
   BOOST_TEST(UsePreset(cluster, 0, "peak").status == 200);
 }
 
-// The write of the head takes effect, its answer is lost. The entry reads the
-// head, finds its change id, and tells the operator "accepted".
+// The write of the head takes effect, but its answer is lost. The entry reads
+// the head, finds its own change id there and reports the change as accepted.
 BOOST_AUTO_TEST_CASE(AnswerLostAfterTheWrite) {
   Cluster cluster({.entries = 2, .agents = 1});
   cluster.Call(cluster.Platform(), "POST", "/fault/lose");
@@ -51,8 +51,8 @@
   BOOST_TEST(cluster.Wait([&] { return cluster.VersionAt(1) == 2; }));
 }
 
-// Two operators change the preset at the same moment, at different entries, on
-// a slow platform. One is accepted, the other is told of the conflict.
+// Two operators change the preset at the same time, at different entries, with
+// a slow platform. One change is accepted, the other fails with a conflict.
 BOOST_AUTO_TEST_CASE(TwoOperatorsRace) {
   Cluster cluster({.entries = 2, .agents = 1});
   cluster.Call(cluster.Platform(), "POST", "/fault/slow?ms=200");
@@ -72,9 +72,9 @@
       [&] { return cluster.VersionAt(0) == 2 && cluster.VersionAt(1) == 2; }));
 }
 
-// With the platform down, every entry but one is killed and started again. The
-// new one finds the other by its seed, learns the configuration in force from
-// it, and serves.
+// With the platform down, every entry but one is killed and restarted. The
+// restarted entry connects to the other through its seed address, gets the
+// configuration in force from that peer, and becomes ready.
 BOOST_AUTO_TEST_CASE(RestartWhilePlatformIsDown) {
   Cluster cluster({.entries = 2, .agents = 1});
   BOOST_TEST(UsePreset(cluster, 0, "peak").status == 200);
@@ -87,9 +87,9 @@
   BOOST_TEST(cluster.WaitReady(1));
 }
 
-// An agent is drained: its engine gets nothing new while the other does all the
-// work, until it is undrained.
-BOOST_AUTO_TEST_CASE(DrainedAgentGetsNothing) {
+// The engine of a drained agent gets no new requests, and the other engine
+// serves all of them, until the agent is undrained.
+BOOST_AUTO_TEST_CASE(DrainedAgentGetsNoRequests) {
   Cluster cluster({.entries = 1, .agents = 2});
   const std::string body = R"({"name": "agent-0"})";
   const auto starts_at_first = [&] {
--- a/test/process/failure_test.cc
+++ b/test/process/failure_test.cc
@@ -1,4 +1,4 @@
-// Failures of whole processes, on loopback.
+// Failures of processes and of the connections between them, on loopback.
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 #include <csignal>
@@ -9,20 +9,20 @@
 
 namespace {
 
-const std::string kWhole =
+const std::string kCompleteAnswer =
     "Letter0 Letter1 Letter2 Letter3 Letter4 Letter5 Letter6 Letter7 Letter8 "
     "Letter9 ";
 
-bool HasText(const Exchange& exchange, const std::string& text) {
+bool BodyContains(const Exchange& exchange, const std::string& text) {
   return exchange.result.body.find(text) != std::string::npos;
 }
 
 }  // namespace
 
-// A caller's entry is killed while its request runs. The caller sees a broken
-// connection and sends the same key to another entry. That one finds the claim,
-// the owner dead, asks the claim's agents and reads the one answer from the
-// start: whole, with a single start at the engines.
+// A caller's entry is killed while its request runs. The caller's connection
+// breaks, and the caller retries the same key at another entry. That entry
+// finds the claim of the dead owner, queries the claim's agents and streams the
+// answer from its start: complete, with a single start at the engines.
 BOOST_AUTO_TEST_CASE(EntryKilledWhileRequestRuns) {
   Cluster cluster({.step_ms = 40});
   const std::string key = cluster.NewKey();
@@ -30,16 +30,16 @@
   BOOST_REQUIRE(cluster.Wait([&] { return !first->stream.empty(); }));
   cluster.Signal("entry-0", SIGKILL);
   BOOST_REQUIRE(cluster.Wait([&] { return first->done; }));
-  BOOST_TEST(!first->whole());
-  const auto again = cluster.Ask(1, key, "check", 60, /*stream=*/true);
-  BOOST_REQUIRE(cluster.Wait([&] { return again->done; }));
-  BOOST_TEST(again->whole());
+  BOOST_TEST(!first->IsComplete());
+  const auto retry = cluster.Ask(1, key, "check", 60, /*stream=*/true);
+  BOOST_REQUIRE(cluster.Wait([&] { return retry->done; }));
+  BOOST_TEST(retry->IsComplete());
   BOOST_TEST(cluster.Starts() == 1U);
 }
 
-// Both agents are busy, so the request waits at its entry, which is killed.
-// The retry elsewhere hears from every agent that it never came, so it runs
-// now, once.
+// The agent is busy, so the request waits at its entry, which is killed. For
+// the retry at another entry, every agent reports that it never received the
+// request, so the request runs now, exactly once.
 BOOST_AUTO_TEST_CASE(EntryKilledWhileRequestWaits) {
   Cluster cluster(
       {.agents = 1,
@@ -54,16 +54,16 @@
     return cluster.Log("entry-0").find("event=route") != std::string::npos;
   }));
   cluster.Signal("entry-0", SIGKILL);
-  const auto again = cluster.Ask(1, key, "check", 10);
-  BOOST_REQUIRE(cluster.Wait([&] { return again->done && ahead->done; }));
-  BOOST_TEST(again->result.status == 200);
-  BOOST_TEST(HasText(*again, kWhole));
+  const auto retry = cluster.Ask(1, key, "check", 10);
+  BOOST_REQUIRE(cluster.Wait([&] { return retry->done && ahead->done; }));
+  BOOST_TEST(retry->result.status == 200);
+  BOOST_TEST(BodyContains(*retry, kCompleteAnswer));
   BOOST_TEST(cluster.Starts() == 3U);
 }
 
-// An agent is killed under a check and a lookup. The check may have run, so
-// its caller hears "unknown" and it is not sent again; the lookup may be
-// repeated and comes back whole from the other agent.
+// An agent is killed while it runs a check and a lookup. The check may have
+// run, so its outcome is "unknown" and it is not repeated. The lookup is
+// repeatable; it is retried and answered by the restarted agent.
 BOOST_AUTO_TEST_CASE(AgentKilledWhileRequestsRun) {
   Cluster cluster({.entries = 1,
                    .agents = 1,
@@ -76,15 +76,16 @@
   cluster.StartAgent(0);
   BOOST_REQUIRE(cluster.Wait([&] { return check->done && lookup->done; }));
   BOOST_TEST(check->result.status == 504);
-  BOOST_TEST(HasText(*check, "\"outcome\":\"unknown\""));
+  BOOST_TEST(BodyContains(*check, "\"outcome\":\"unknown\""));
   BOOST_TEST(lookup->result.status == 200);
   BOOST_TEST(cluster.Starts() == 3U);
 }
 
-// An agent is frozen past the heartbeat timeout while it streams, then wakes.
-// Its links were dropped as silent; the entry attaches at its offset on a new
-// one and the caller gets the rest: nothing cut, nothing twice, one start.
-BOOST_AUTO_TEST_CASE(AgentFrozenAndWoken) {
+// An agent is frozen beyond the heartbeat timeout while it streams, then
+// resumes. Its links have been closed as unresponsive. The entry attaches to
+// the stream at its offset over a new link, and the caller gets the rest:
+// nothing missing, nothing repeated, one start.
+BOOST_AUTO_TEST_CASE(AgentFrozenAndResumed) {
   Cluster cluster({.entries = 1,
                    .agents = 1,
                    .step_ms = 20,
@@ -97,7 +98,7 @@
   }));
   cluster.Signal("agent-0", SIGCONT);
   BOOST_REQUIRE(cluster.Wait([&] { return check->done; }));
-  BOOST_TEST(check->whole());
+  BOOST_TEST(check->IsComplete());
   for (const char* text : {"Letter0 ", "Letter31 ", "Letter49 "}) {
     const size_t first = check->stream.find(text);
     BOOST_TEST(first != std::string::npos);
@@ -106,9 +107,9 @@
   BOOST_TEST(cluster.Starts() == 1U);
 }
 
-// An entry is frozen while its request waits; the retry elsewhere seals the
-// agents and runs it. The first entry wakes and still wants to send it: the
-// agents refuse, and there is one start.
+// An entry is frozen while its request waits. The retry at another entry seals
+// the key at the agents and runs the request. The first entry resumes and still
+// tries to send it; the agents refuse, so there is one start.
 BOOST_AUTO_TEST_CASE(EntryFrozenWhileRequestWaits) {
   Cluster cluster(
       {.agents = 1,
@@ -123,19 +124,19 @@
     return cluster.Log("entry-0").find("event=route") != std::string::npos;
   }));
   cluster.Signal("entry-0", SIGSTOP);
-  const auto again = cluster.Ask(1, key, "check", 10);
-  BOOST_REQUIRE(cluster.Wait([&] { return again->done; }));
+  const auto retry = cluster.Ask(1, key, "check", 10);
+  BOOST_REQUIRE(cluster.Wait([&] { return retry->done; }));
   cluster.Signal("entry-0", SIGCONT);
   BOOST_REQUIRE(cluster.Wait([&] { return frozen->done && ahead->done; }));
-  BOOST_TEST(HasText(*again, kWhole));
-  BOOST_TEST(!HasText(*frozen, "not-run"));
+  BOOST_TEST(BodyContains(*retry, kCompleteAnswer));
+  BOOST_TEST(!BodyContains(*frozen, "not-run"));
   BOOST_TEST(cluster.Starts() == 3U);
 }
 
-// Every open connection to the agent is forgotten by something in between: no
-// error, no bytes, while new ones work. Heartbeats stop, both ends drop it,
-// and the answer goes on at its offset over a new connection.
-BOOST_AUTO_TEST_CASE(ConnectionSilentForGood) {
+// A middlebox drops every open connection to the agent without an error at
+// either end, while new connections work. Heartbeats stop, both ends close the
+// connection, and the answer continues at its offset over a new one.
+BOOST_AUTO_TEST_CASE(ConnectionStalledWithoutError) {
   Cluster cluster({.entries = 1,
                    .agents = 1,
                    .step_ms = 20,
@@ -143,15 +144,15 @@
                    .entry_tuning = R"("server_patience_ms": 60000)"});
   const auto check = cluster.Ask(0, cluster.NewKey(), "check", 300, true);
   BOOST_REQUIRE(cluster.Wait([&] { return !check->stream.empty(); }));
-  cluster.relay(0).ForgetOpen();
+  cluster.relay(0).StallOpenConnections();
   BOOST_REQUIRE(cluster.Wait([&] { return check->done; }));
-  BOOST_TEST(check->whole());
+  BOOST_TEST(check->IsComplete());
   BOOST_TEST(cluster.Starts() == 1U);
 }
 
-// The engine goes on but its streams bring nothing more. The agent reads them
-// anew from the next event; the prompt is not computed a second time.
-BOOST_AUTO_TEST_CASE(EngineStreamSilent) {
+// The engine keeps running, but its streams deliver nothing more. The agent
+// resumes them from the next event; the prompt is not computed a second time.
+BOOST_AUTO_TEST_CASE(EngineStreamStalled) {
   Cluster cluster({.entries = 1,
                    .agents = 1,
                    .agent_tuning = R"("stream_silence_ms": 300)"});
@@ -164,12 +165,12 @@
   }));
   cluster.Call(cluster.Engine(0), "POST", "/fault/up");
   BOOST_REQUIRE(cluster.Wait([&] { return check->done; }));
-  BOOST_TEST(check->whole());
+  BOOST_TEST(check->IsComplete());
   BOOST_TEST(cluster.Starts() == 1U);
 }
 
-// One of two engines is slowed tenfold. Checks still come back whole, and
-// most go to the other engine once the slow one has its slots full.
+// One of two engines is slowed tenfold. All checks are still answered, and most
+// go to the other engine once the slots of the slow one are full.
 BOOST_AUTO_TEST_CASE(EngineSlowedTenfold) {
   Cluster cluster({.entries = 1, .agents = 2});
   cluster.Call(cluster.Engine(0), "POST", "/fault/speed?factor=0.1");
@@ -185,11 +186,11 @@
   BOOST_TEST(cluster.Starts() == 60U);
 }
 
-// A whole data centre is stopped in order while it is under load. Its entry
-// and agent tell the others at once, take nothing new, finish what runs and
-// give back what waits: every caller, also of the stopped entry, gets its
-// whole answer. A request that reaches the entry only after the stop is refused
-// as not run, and sent to the other with the same key.
+// A data centre is shut down gracefully under load. Its entry and agent notify
+// their peers at once, accept nothing new, finish running requests and hand
+// back waiting ones. Every caller, also of the stopped entry, gets its complete
+// answer. A request that reaches the entry after the stop is refused as not
+// run, and is retried at the other entry with the same key.
 BOOST_AUTO_TEST_CASE(DataCentreStoppedUnderLoad) {
   Cluster cluster({.entries = 2, .agents = 2, .step_ms = 10});
   std::vector<std::string> keys;
@@ -204,15 +205,15 @@
   for (int i = 0; i < 40; ++i) {
     BOOST_REQUIRE(cluster.Wait([&] { return checks[i]->done; }));
     const HttpResult& result = checks[i]->result;
-    const bool came_late =
+    const bool arrived_after_stop =
         result.kind == HttpResult::Kind::kNotSent ||
         (result.status == 503 &&
          result.body.find("\"name\":\"leaving\"") != std::string::npos);
-    if (came_late) {
+    if (arrived_after_stop) {
       checks[i] = cluster.Ask(0, keys[i], "check", 40, i % 3 == 0);
       BOOST_REQUIRE(cluster.Wait([&] { return checks[i]->done; }));
     }
-    BOOST_TEST(checks[i]->whole(),
+    BOOST_TEST(checks[i]->IsComplete(),
                i << " kind " << static_cast<int>(checks[i]->result.kind)
                  << " status " << checks[i]->result.status << " "
                  << checks[i]->result.body << checks[i]->stream);
@@ -223,9 +224,9 @@
   BOOST_TEST(cluster.Call(cluster.Entry(0), "GET", "/readyz").status == 200);
 }
 
-// Ten times what the servers hold arrives at once, checks and lookups mixed.
-// Every check is answered; lookups are answered or refused with a number, and
-// nobody is left without an outcome.
+// Ten times the capacity of the servers arrives at once, checks and lookups
+// mixed. Every check is answered, every lookup is answered or refused with a
+// result code, and no request is left without an outcome.
 BOOST_AUTO_TEST_CASE(BurstOfTenTimesTheLoad) {
   Cluster cluster(
       {.entries = 2, .agents = 2, .entry_tuning = R"("max_waiting": 60)"});
@@ -250,8 +251,8 @@
   BOOST_TEST(refused > 0U);
 }
 
-// Two at once: the platform is down when an entry is killed. The retry needs
-// neither of them.
+// Two simultaneous failures: an entry is killed while the platform is down. The
+// retry of its request depends on neither.
 BOOST_AUTO_TEST_CASE(EntryKilledWhilePlatformIsDown) {
   Cluster cluster({.step_ms = 20});
   cluster.Call(cluster.Platform(), "POST", "/fault/outage");
@@ -259,36 +260,37 @@
   const auto first = cluster.Ask(0, key, "check", 60, true);
   BOOST_REQUIRE(cluster.Wait([&] { return !first->stream.empty(); }));
   cluster.Signal("entry-0", SIGKILL);
-  const auto again = cluster.Ask(1, key, "check", 60, true);
-  BOOST_REQUIRE(cluster.Wait([&] { return again->done; }));
-  BOOST_TEST(again->whole());
+  const auto retry = cluster.Ask(1, key, "check", 60, true);
+  BOOST_REQUIRE(cluster.Wait([&] { return retry->done; }));
+  BOOST_TEST(retry->IsComplete());
   BOOST_TEST(cluster.Starts() == 1U);
 }
 
-// One of three entries is killed and not replaced. Callers bring new keys to
-// the other two, right away and once the loss is judged. Two keys in three have
-// the dead entry among their holders; the platform decides those, so that each
-// is answered, and each once.
-BOOST_AUTO_TEST_CASE(NewKeysAfterAnEntryIsKilledForGood) {
+// One of three entries is killed and not replaced. Callers send new keys to the
+// other two, immediately and after the loss has been detected. Two keys in
+// three have the dead entry among their holders; the platform decides these, so
+// that each request is answered and runs once.
+BOOST_AUTO_TEST_CASE(NewKeysAfterAnEntryIsKilledAndNotReplaced) {
   constexpr size_t kKeys = 80;
   Cluster cluster({.entries = 3, .agents = 2});
   cluster.Signal("entry-1", SIGKILL);
-  std::vector<std::shared_ptr<Exchange>> asked;
-  const auto ask_all = [&] {
+  std::vector<std::shared_ptr<Exchange>> exchanges;
+  const auto submit_all = [&] {
     for (size_t i = 0; i < kKeys; ++i) {
-      asked.push_back(
+      exchanges.push_back(
           cluster.Ask(i % 2 == 0 ? 0 : 2, cluster.NewKey(), "check", 3));
     }
     BOOST_REQUIRE(cluster.Wait([&] {
-      return std::ranges::all_of(asked, [](const auto& e) { return e->done; });
+      return std::ranges::all_of(exchanges,
+                                 [](const auto& e) { return e->done; });
     }));
   };
-  ask_all();
+  submit_all();
   BOOST_REQUIRE(cluster.Wait([&] {
     return cluster.Log("entry-0").find("event=peer_lost") != std::string::npos;
   }));
-  ask_all();
-  for (const auto& exchange : asked) {
+  submit_all();
+  for (const auto& exchange : exchanges) {
     BOOST_TEST(exchange->result.status == 200);
   }
   BOOST_TEST(cluster.Starts() == 2 * kKeys);
--- a/test/process/hostile_input_test.cc
+++ b/test/process/hostile_input_test.cc
@@ -40,7 +40,7 @@
   return bytes;
 }
 
-void CheckServes(Cluster& cluster) {
+void CheckServesRequests(Cluster& cluster) {
   const auto check = cluster.Ask(0, cluster.NewKey(), "check", 5);
   BOOST_REQUIRE(cluster.Wait([&] { return check->done; }));
   BOOST_TEST(check->result.status == 200);
@@ -50,8 +50,8 @@
 
 }  // namespace
 
-// Garbage, oversized lengths and truncated frames on the peer ports, garbage
-// on the caller port: each connection is dropped, the daemons serve on.
+// Garbage, oversized lengths and truncated frames on the peer ports, garbage on
+// the caller port: each connection is closed, and the daemons keep serving.
 BOOST_AUTO_TEST_CASE(GarbageOnEveryPort) {
   PrepareProcess();
   Cluster cluster({.entries = 1, .agents = 1});
@@ -72,12 +72,12 @@
           "Content-Length: 99999999999\r\n\r\n");
   SendRaw(cluster.Entry(0),
           "GET / HTTP/1.1\r\nX: " + std::string(200'000, 'x') + "\r\n\r\n");
-  CheckServes(cluster);
+  CheckServesRequests(cluster);
 }
 
-// Thousands of peers and callers that connect and say nothing. Those on the
-// peer port are bounded and dropped for want of a greeting; others are served
-// meanwhile.
+// Thousands of peers and callers connect and send nothing. Connections to the
+// peer port are limited in number and closed when no handshake arrives; other
+// callers are served meanwhile.
 BOOST_AUTO_TEST_CASE(IdleConnections) {
   PrepareProcess();
   Cluster cluster({.entries = 1, .agents = 1});
@@ -90,15 +90,16 @@
       cluster.Call(cluster.Entry(0), "GET", "/healthz");
     }
   }
-  CheckServes(cluster);
+  CheckServesRequests(cluster);
   for (const int socket : sockets) {
     close(socket);
   }
-  CheckServes(cluster);
+  CheckServesRequests(cluster);
 }
 
-// Each kind of bad request gets its number and leaves nothing behind.
-BOOST_AUTO_TEST_CASE(BadRequestsGetTheirNumber) {
+// Each kind of invalid request is refused with its result code and has no
+// further effect.
+BOOST_AUTO_TEST_CASE(BadRequestsGetTheirResultCode) {
   Cluster cluster({.entries = 1, .agents = 1});
   struct Case {
     std::string body;
@@ -144,12 +145,12 @@
                std::string::npos);
   }
   BOOST_TEST(cluster.Starts() == 0U);
-  CheckServes(cluster);
+  CheckServesRequests(cluster);
 }
 
-// Another team neither reads, cancels nor learns of a request; operator calls
-// without the key do nothing; no key shows in a log.
-BOOST_AUTO_TEST_CASE(TeamsAndOperatorsAreKeptApart) {
+// A team can neither read, cancel nor detect another team's request. Operator
+// calls without the operator key have no effect. No key appears in a log.
+BOOST_AUTO_TEST_CASE(TeamsAndOperatorsAreIsolated) {
   Cluster cluster({.entries = 1, .agents = 1});
   const std::string key = cluster.NewKey();
   const auto check = cluster.Ask(0, key, "check", 5);
--- a/test/process/load_test.cc
+++ b/test/process/load_test.cc
@@ -1,4 +1,4 @@
-// Many callers at once at whole processes, on loopback.
+// Many concurrent callers against real processes, on loopback.
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 #include <vector>
@@ -16,8 +16,8 @@
       std::ranges::count_if(exchanges, [](const auto& e) { return e->done; }));
 }
 
-/// Callers whose connection closed without an answer or a refusal.
-size_t CountClosedSilently(const Exchanges& exchanges) {
+/// Counts callers whose connection closed without an answer or a refusal.
+size_t CountWithoutReply(const Exchanges& exchanges) {
   return static_cast<size_t>(
       std::ranges::count_if(exchanges, [](const auto& e) {
         return e->result.kind != HttpResult::Kind::kAnswered;
@@ -26,11 +26,10 @@
 
 }  // namespace
 
-// Lookups stream at both entries when a burst of deadline-bound checks comes.
-// Lookups give way, and the streams of those that had begun are broken off
-// while their last piece is still on its way to the caller. No entry may end:
-// every caller of either sort is answered, refused, or has its own stream
-// broken off, and every check that is refused for certain did not run.
+// Guards against an entry that crashes when a burst of deadline-bound checks
+// preempts streaming lookups: their streams are aborted while the last chunk is
+// still being sent to the caller. Every caller must be answered, refused, or
+// have its own stream aborted, and a refused check must not have run.
 BOOST_AUTO_TEST_CASE(ChecksOverManyStreamingLookups) {
   constexpr size_t kLookups = 300;
   constexpr int kTokens = 100;
@@ -57,43 +56,43 @@
   BOOST_TEST(cluster.Wait([&] { return CountDone(lookups) == kLookups; }));
   BOOST_TEST(cluster.Running("entry-0"));
   BOOST_TEST(cluster.Running("entry-1"));
-  BOOST_TEST(CountClosedSilently(checks) == 0U);
+  BOOST_TEST(CountWithoutReply(checks) == 0U);
   for (const auto& check : checks) {
     BOOST_TEST(check->result.status != 504);
   }
-  // A lookup whose stream had begun may be broken off; the others are told.
+  // A lookup whose stream had begun may be aborted; all others get a reply.
   for (const auto& lookup : lookups) {
     const bool begun = !lookup->stream.empty();
     BOOST_TEST((begun || lookup->result.kind == HttpResult::Kind::kAnswered));
   }
 }
 
-// Guards against: engines lost one after the other to a lookup that comes
-// again, and the lookups beside it with them.
-BOOST_AUTO_TEST_CASE(DeadlyLookupsLeaveEnginesForTheOthers) {
+// Guards against a repeatedly submitted poison lookup that crashes one engine
+// after the other, and with them the lookups that run beside it.
+BOOST_AUTO_TEST_CASE(CrashingLookupsLeaveEnginesForOthers) {
   constexpr size_t kEngines = 8;
   constexpr size_t kRounds = 60;
   constexpr int kTokens = 5;
   Cluster cluster({.entries = 2, .agents = kEngines, .step_ms = 4});
-  Exchanges deadly;
+  Exchanges crashing;
   Exchanges harmless;
   for (size_t round = 0; round < kRounds; ++round) {
-    deadly.push_back(cluster.Ask(round % 2, "", "lookup", kTokens,
-                                 /*stream=*/false, "deadly letter"));
+    crashing.push_back(cluster.Ask(round % 2, "", "lookup", kTokens,
+                                   /*stream=*/false, "deadly letter"));
     for (const size_t entry : {0U, 1U}) {
       harmless.push_back(cluster.Ask(entry, "", "lookup", kTokens,
                                      /*stream=*/false,
                                      "Letter " + std::to_string(round)));
     }
     BOOST_TEST(cluster.Wait(
-        [&] { return harmless.back()->done && deadly.back()->done; }));
+        [&] { return harmless.back()->done && crashing.back()->done; }));
   }
   BOOST_TEST(cluster.Wait([&] { return CountDone(harmless) == 2 * kRounds; }));
   size_t running = 0;
   for (size_t i = 0; i < kEngines; ++i) {
     running += cluster.Running("engine-" + std::to_string(i)) ? 1 : 0;
   }
-  // Three may be lost, and three more to retries.
+  // Up to three engines may be lost, and three more to retries.
   BOOST_TEST(running >= kEngines - 6);
   const auto answered = std::ranges::count_if(harmless, [](const auto& lookup) {
     return lookup->result.status == 200;
--- a/test/process/process_set.h
+++ b/test/process/process_set.h
@@ -10,11 +10,11 @@
 
 namespace lavenderkeel::test {
 
-/// Processes that a test started, each with a directory entry for its log and
-/// its ready file. All that still run are killed when it goes, by their ids.
+/// Child processes of a test, each with a log and a ready file in a directory
+/// of the set. The destructor kills those that still run, by their process ids.
 class ProcessSet {
  public:
-  /// @param keep the directory stays, for whoever looks into a failure
+  /// @param keep whether the directory outlives the set, to inspect a failure
   explicit ProcessSet(bool keep = false);
   ~ProcessSet();
   ProcessSet(const ProcessSet&) = delete;
@@ -25,7 +25,7 @@
   /// @return the exit status if the process has ended; minus the signal that
   ///     killed it, if one did
   std::optional<int> TryJoin(const std::string& name);
-  /// Kills it and waits for its end.
+  /// Sends SIGKILL and waits for the process to end.
   void Kill(const std::string& name);
   bool Running(const std::string& name) const;
   bool Has(const std::string& name) const { return pids_.contains(name); }
@@ -36,7 +36,8 @@
     return directory_ + "/" + name + ".ready";
   }
   bool HasReadyFile(const std::string& name) const;
-  /// An address that the process wrote to its ready file; empty before.
+  /// Returns the address of a port from the process's ready file; empty if the
+  /// file does not exist yet.
   std::string Address(const std::string& name, const std::string& port) const;
   std::string Log(const std::string& name) const;
   void set_keep(bool keep) { keep_ = keep; }
@@ -47,7 +48,7 @@
   std::map<std::string, pid_t> pids_;
 };
 
-/// A whole file; empty if it can't be read.
+/// Returns the contents of a file; empty if it can't be read.
 std::string ReadFile(const std::string& path);
 
 }  // namespace lavenderkeel::test
--- a/test/process/relay.cc
+++ b/test/process/relay.cc
@@ -17,7 +17,7 @@
     bufferevent_free(in);
     bufferevent_free(out);
   }
-  struct Held {
+  struct QueuedBytes {
     TimePoint due;
     bool to_target = false;
     std::string bytes;
@@ -27,12 +27,12 @@
   bufferevent* in = nullptr;
   bufferevent* out = nullptr;
   bool closed = false;
-  /// One end closed in order; the other is closed once it has all bytes.
-  bool ending = false;
-  std::deque<Held> held;
+  /// One end has sent EOF; the other is closed once it has received all bytes.
+  bool half_closed = false;
+  std::deque<QueuedBytes> queued;
 
   bool Drained() const {
-    return held.empty() &&
+    return queued.empty() &&
            evbuffer_get_length(bufferevent_get_output(in)) == 0 &&
            evbuffer_get_length(bufferevent_get_output(out)) == 0;
   }
@@ -94,7 +94,7 @@
     if ((what & BEV_EVENT_ERROR) != 0) {
       self->Close();
     } else if ((what & BEV_EVENT_EOF) != 0) {
-      self->ending = true;
+      self->half_closed = true;
     }
   };
   for (bufferevent* end : {pair->in, pair->out}) {
@@ -108,9 +108,9 @@
   evbuffer* input = bufferevent_get_input(to_target ? pair.in : pair.out);
   std::string bytes(evbuffer_get_length(input), '\0');
   evbuffer_remove(input, bytes.data(), bytes.size());
-  pair.held.push_back({.due = clock_.Now() + delay_,
-                       .to_target = to_target,
-                       .bytes = std::move(bytes)});
+  pair.queued.push_back({.due = clock_.Now() + delay_,
+                         .to_target = to_target,
+                         .bytes = std::move(bytes)});
   if (delay_ == Duration::zero()) {
     Flush();
   }
@@ -119,33 +119,34 @@
 void Relay::Flush() {
   const TimePoint now = clock_.Now();
   for (const auto& pair : pairs_) {
-    std::deque<Pair::Held> left;
-    for (Pair::Held& held : pair->held) {
+    std::deque<Pair::QueuedBytes> left;
+    for (Pair::QueuedBytes& queued : pair->queued) {
       const bool stays =
-          held.due > now || (held.to_target ? hold_to_ : hold_from_);
+          queued.due > now ||
+          (queued.to_target ? to_target_blocked_ : from_target_blocked_);
       if (pair->closed) {
         continue;
       }
       if (stays) {
-        left.push_back(std::move(held));
+        left.push_back(std::move(queued));
         continue;
       }
-      bufferevent_write(held.to_target ? pair->out : pair->in,
-                        held.bytes.data(), held.bytes.size());
+      bufferevent_write(queued.to_target ? pair->out : pair->in,
+                        queued.bytes.data(), queued.bytes.size());
     }
-    pair->held.swap(left);
-    if (pair->ending && !pair->closed && pair->Drained()) {
+    pair->queued.swap(left);
+    if (pair->half_closed && !pair->closed && pair->Drained()) {
       pair->Close();
     }
   }
 }
 
-void Relay::Hold(bool to_target, bool from_target) {
-  hold_to_ = to_target;
-  hold_from_ = from_target;
+void Relay::SetBlocked(bool to_target, bool from_target) {
+  to_target_blocked_ = to_target;
+  from_target_blocked_ = from_target;
 }
 
-void Relay::ResetOpen() {
+void Relay::ResetOpenConnections() {
   constexpr linger kReset = {.l_onoff = 1, .l_linger = 0};
   for (const auto& pair : pairs_) {
     if (pair->closed) {
@@ -159,7 +160,7 @@
   }
 }
 
-void Relay::ForgetOpen() {
+void Relay::StallOpenConnections() {
   for (const auto& pair : pairs_) {
     if (!pair->closed) {
       bufferevent_disable(pair->in, EV_READ | EV_WRITE);
--- a/test/process/relay.h
+++ b/test/process/relay.h
@@ -12,7 +12,7 @@
 
 namespace lavenderkeel::test {
 
-/// Forwards TCP connections and harms them when told to.
+/// TCP proxy that injects network faults into the connections that it forwards.
 class Relay {
  public:
   explicit Relay(EventLoop& loop);
@@ -22,23 +22,24 @@
 
   const std::string& address() const { return address_; }
   void set_target(const std::string& target) { target_ = target; }
-  /// The open connections go silent for good, with no error at either end,
-  /// while new ones work.
-  void ForgetOpen();
+  /// Stops forwarding on the open connections for good, without an error at
+  /// either end. New connections work.
+  void StallOpenConnections();
   /// Resets the open connections.
-  void ResetOpen();
-  /// Bytes that come from now on are held up for this time.
+  void ResetOpenConnections();
+  /// Delays bytes that are received from now on.
   void set_delay(Duration delay) { delay_ = delay; }
-  /// Bytes of one direction, or of both, are held back until it is let go;
-  /// new connections come about but carry nothing that way.
-  void Hold(bool to_target, bool from_target);
+  /// Sets which directions are blocked. Bytes of a blocked direction are queued
+  /// until it is unblocked; new connections are accepted but carry nothing in
+  /// that direction.
+  void SetBlocked(bool to_target, bool from_target);
 
  private:
   struct Pair;
 
   void Accept(int socket);
   void Forward(Pair& pair, bool to_target);
-  /// Passes on what was held up for long enough.
+  /// Forwards queued bytes that are due and not blocked.
   void Flush();
 
   EventLoop& loop_;
@@ -48,8 +49,8 @@
   std::vector<std::unique_ptr<Pair>> pairs_;
   SystemClock clock_;
   Duration delay_{};
-  bool hold_to_ = false;
-  bool hold_from_ = false;
+  bool to_target_blocked_ = false;
+  bool from_target_blocked_ = false;
 };
 
 }  // namespace lavenderkeel::test
--- a/test/process/rollout_test.cc
+++ b/test/process/rollout_test.cc
@@ -1,4 +1,4 @@
-// An operator's order over real processes and a stand-in of the store.
+// A rollout order of an operator, with real processes and a fake store.
 #include <boost/test/unit_test.hpp>
 #include <fstream>
 #include <functional>
@@ -13,7 +13,8 @@
 
 namespace {
 
-/// One forwarding entry, servers of two versions, and a client.
+/// A forwarding entry, a fake store, servers of up to two versions, and a
+/// client.
 class RolloutProcesses {
  public:
   RolloutProcesses() {
@@ -43,11 +44,13 @@
             version + R"("})");
   }
 
-  void Order() {
+  void OrderRollout() {
     Put("rollouts/s", R"({"service": "s", "to": "v2", "durationS": 4})");
   }
 
-  /// Sends requests, some at once, until the condition holds.
+  /// Sends requests, several concurrently, until the condition holds.
+  ///
+  /// @return false on a timeout
   bool SendUntil(const std::function<bool()>& condition) {
     return Wait([&] {
       constexpr size_t kAtOnce = 4;
@@ -58,8 +61,8 @@
     });
   }
 
-  /// What the store holds of the order, as it is written.
-  std::string Stored() {
+  /// Returns the rollout objects of the store as JSON.
+  std::string ReadRollouts() {
     std::string body;
     bool done = false;
     http_.Start({.address = processes_.Address("store", "http"),
@@ -71,11 +74,12 @@
     Wait([&] { return done; });
     return body;
   }
-  bool StoredIs(const std::string& state) {
-    return Stored().find("\"state\":\"" + state + "\"") != std::string::npos;
+  bool HasStoredState(const std::string& state) {
+    return ReadRollouts().find("\"state\":\"" + state + "\"") !=
+           std::string::npos;
   }
 
-  /// Requests that the version's server ran.
+  /// Number of requests that the version's server has run.
   size_t Runs(const std::string& version) const {
     const std::string runs = ReadFile(processes_.directory() + "/" + version);
     return static_cast<size_t>(std::count(runs.begin(), runs.end(), '\n'));
@@ -150,20 +154,22 @@
 
 }  // namespace
 
-// An order is read, its record written, and the traffic moved, by the real
-// program and over HTTP.
+// The real program reads a rollout order from the store over HTTP, writes its
+// record there, and moves all traffic to the new version.
 BOOST_AUTO_TEST_CASE(OrderIsCarriedOutOverRealProcesses) {
-  RolloutProcesses world;
-  world.StartServer("v2");
-  BOOST_TEST(world.SendUntil([&] { return world.Runs("v1") >= 50; }));
-  BOOST_TEST(world.Runs("v2") == 0);
-  world.Order();
-  BOOST_TEST(world.SendUntil([&] { return world.StoredIs("completed"); }));
-  const size_t before = world.Runs("v1");
-  const size_t moved = world.Runs("v2");
-  BOOST_TEST(world.SendUntil([&] { return world.Runs("v2") >= moved + 20; }));
-  BOOST_TEST(world.Runs("v1") == before);
-  BOOST_TEST(world.failed() == 0);
+  RolloutProcesses processes;
+  processes.StartServer("v2");
+  BOOST_TEST(processes.SendUntil([&] { return processes.Runs("v1") >= 50; }));
+  BOOST_TEST(processes.Runs("v2") == 0);
+  processes.OrderRollout();
+  BOOST_TEST(processes.SendUntil(
+      [&] { return processes.HasStoredState("completed"); }));
+  const size_t before = processes.Runs("v1");
+  const size_t moved = processes.Runs("v2");
+  BOOST_TEST(
+      processes.SendUntil([&] { return processes.Runs("v2") >= moved + 20; }));
+  BOOST_TEST(processes.Runs("v1") == before);
+  BOOST_TEST(processes.failed() == 0);
 }
 
 }  // namespace lavenderkeel::test
--- a/test/soak/checker.cc
+++ b/test/soak/checker.cc
@@ -6,94 +6,97 @@
 
 constexpr int kOk = 200;
 
-bool SaysNotRun(int status) {
+bool MeansNotRun(int status) {
   return status == 429 || status == 503 || status == 408 || status == 421;
 }
 
 }  // namespace
 
-void Checker::Break(const Seen& seen, const std::string& promise) {
-  broken_.push_back(
-      promise + ": " + seen.id + " (" + seen.route + ", status " +
-      (seen.status ? std::to_string(*seen.status) : "none") + ", took " +
-      std::to_string(ToMilliseconds(seen.ended - seen.sent)) + " ms)");
+void Checker::AddViolation(const RequestRecord& record,
+                           const std::string& guarantee) {
+  violations_.push_back(
+      guarantee + ": " + record.id + " (" + record.route + ", status " +
+      (record.status ? std::to_string(*record.status) : "none") + ", took " +
+      std::to_string(ToMilliseconds(record.ended - record.sent)) + " ms)");
 }
 
-void Checker::OnSeen(const Seen& seen) {
-  if (seen.route == "once") {
-    once_.insert(seen.id);
+void Checker::OnRequestDone(const RequestRecord& record) {
+  if (record.route == "once") {
+    non_idempotent_.insert(record.id);
   }
-  // The routes time out after four seconds. A second more covers what the
-  // machine that plays this takes for itself.
-  constexpr Duration kAnswerDue = std::chrono::milliseconds(5500);
-  if (timed_ && seen.ended - seen.sent > kAnswerDue &&
-      seen.status.has_value()) {
-    Break(seen, "final answer long after its time");
+  // Routes time out after four seconds. The margin covers scheduling delays of
+  // the machine that runs the test.
+  constexpr Duration kMaxAnswerTime = std::chrono::milliseconds(5500);
+  if (timed_ && record.ended - record.sent > kMaxAnswerTime &&
+      record.status.has_value()) {
+    AddViolation(record, "final answer after the time limit");
   }
-  if (!seen.status.has_value()) {
+  if (!record.status.has_value()) {
     ++lost_;
-    if (seen.got_head) {
-      CheckStream(seen, /*whole=*/false);
+    if (record.got_head) {
+      CheckStream(record, /*complete=*/false);
     }
     return;
   }
-  const std::string* id = FindField(seen.fields, "Request-Id");
-  if (id != nullptr && *id != seen.id) {
-    Break(seen, "answer of another request");
+  const std::string* id = FindField(record.fields, "Request-Id");
+  if (id != nullptr && *id != record.id) {
+    AddViolation(record, "answer carries the id of another request");
   }
-  if (*seen.status == kOk) {
+  if (*record.status == kOk) {
     ++served_;
-    CheckAnswer(seen);
-  } else if (SaysNotRun(*seen.status)) {
+    CheckAnswer(record);
+  } else if (MeansNotRun(*record.status)) {
     ++refused_;
-    told_not_run_.insert(seen.id);
+    reported_not_run_.insert(record.id);
   } else {
     ++lost_;
   }
 }
 
-void Checker::CheckAnswer(const Seen& seen) {
-  const std::string* seal = FindField(seen.fields, "Response-Seal");
-  if (seal == nullptr || *seal != "s." + seen.id) {
-    Break(seen, "success without the server's seal");
+void Checker::CheckAnswer(const RequestRecord& record) {
+  const std::string* seal = FindField(record.fields, "Response-Seal");
+  if (seal == nullptr || *seal != "s." + record.id) {
+    AddViolation(record, "status 200 without the server's seal");
   }
-  if (seen.route == "stream") {
-    CheckStream(seen, /*whole=*/true);
-  } else if (seen.body != "answer to " + seen.id) {
-    Break(seen, "not the whole own answer");
+  if (record.route == "stream") {
+    CheckStream(record, /*complete=*/true);
+  } else if (record.body != "answer to " + record.id) {
+    AddViolation(record, "body is not the complete answer to this request");
   }
 }
 
-void Checker::CheckStream(const Seen& seen, bool whole) {
-  if (seen.route != "stream") {
+void Checker::CheckStream(const RequestRecord& record, bool complete) {
+  if (record.route != "stream") {
     return;
   }
   constexpr int kEvents = 12;
   std::string expected;
   for (int event = 1; event <= kEvents; ++event) {
-    expected += "id: " + std::to_string(event) + "\ndata: " + seen.id + "\n\n";
+    expected +=
+        "id: " + std::to_string(event) + "\ndata: " + record.id + "\n\n";
   }
-  if (whole ? seen.body != expected : !expected.starts_with(seen.body)) {
-    Break(seen, whole ? "stream with a gap, a repeat or a foreign event"
-                      : "events that are no beginning of the stream");
+  if (complete ? record.body != expected : !expected.starts_with(record.body)) {
+    AddViolation(record,
+                 complete ? "stream has a missing, repeated or foreign event"
+                          : "received events are not a prefix of the stream");
   }
 }
 
 void Checker::OnRuns(const std::multiset<std::string>& runs) {
-  for (const std::string& id : once_) {
+  for (const std::string& id : non_idempotent_) {
     if (runs.count(id) > 1) {
-      broken_.push_back("ran more than once: " + id);
+      violations_.push_back("ran more than once: " + id);
     }
-    if (runs.contains(id) && told_not_run_.contains(id)) {
-      broken_.push_back("told not run, but ran: " + id);
+    if (runs.contains(id) && reported_not_run_.contains(id)) {
+      violations_.push_back("reported as not run, but ran: " + id);
     }
   }
 }
 
-void Checker::OnCalm(const Seen& seen) {
-  OnSeen(seen);
-  if (!seen.status.has_value() || *seen.status != kOk) {
-    Break(seen, "not served after all faults ended");
+void Checker::OnRequestAfterRecovery(const RequestRecord& record) {
+  OnRequestDone(record);
+  if (!record.status.has_value() || *record.status != kOk) {
+    AddViolation(record, "not served after all faults ended");
   }
 }
 
--- a/test/soak/checker.h
+++ b/test/soak/checker.h
@@ -9,36 +9,39 @@
 
 namespace lavenderkeel::soak {
 
-/// Checks the promises from what clients saw and what servers ran. Knows
-/// nothing of how the system works.
+/// Black-box checker of the system's guarantees. Its only input is what clients
+/// received and which requests servers ran.
 class Checker {
  public:
-  /// @param timed also how soon answers come; not where the machine that plays
-  ///     it may be busy with other things
+  /// @param timed whether answer times are checked as well; only meaningful on
+  ///     a machine that runs nothing else
   explicit Checker(bool timed) : timed_(timed) {}
 
-  /// One request is over at its client.
-  void OnSeen(const Seen& seen);
-  /// All is over; what servers ran is complete.
+  /// Checks a request that has ended at its client.
+  void OnRequestDone(const RequestRecord& record);
+  /// Checks how often each request ran, once the servers run nothing more.
+  ///
+  /// @param runs the id of each run's request
   void OnRuns(const std::multiset<std::string>& runs);
-  /// After all faults have ended the request should have been served.
-  void OnCalm(const Seen& seen);
+  /// Checks a request that was sent after all faults had ended: it must have
+  /// been served.
+  void OnRequestAfterRecovery(const RequestRecord& record);
 
-  /// Broken promises, with the ids of their requests.
-  const std::vector<std::string>& broken() const { return broken_; }
+  /// Violated guarantees, each with the id of its request.
+  const std::vector<std::string>& violations() const { return violations_; }
   size_t served() const { return served_; }
   size_t refused() const { return refused_; }
   size_t lost() const { return lost_; }
 
  private:
-  void Break(const Seen& seen, const std::string& promise);
-  void CheckAnswer(const Seen& seen);
-  void CheckStream(const Seen& seen, bool whole);
+  void AddViolation(const RequestRecord& record, const std::string& guarantee);
+  void CheckAnswer(const RequestRecord& record);
+  void CheckStream(const RequestRecord& record, bool complete);
 
   bool timed_;
-  std::vector<std::string> broken_;
-  std::set<std::string> once_;
-  std::set<std::string> told_not_run_;
+  std::vector<std::string> violations_;
+  std::set<std::string> non_idempotent_;
+  std::set<std::string> reported_not_run_;
   size_t served_ = 0;
   size_t refused_ = 0;
   size_t lost_ = 0;
--- a/test/soak/client.h
+++ b/test/soak/client.h
@@ -12,53 +12,53 @@
 
 namespace lavenderkeel::soak {
 
-/// One request as its client saw it.
-struct Seen {
+/// A request and what its client received.
+struct RequestRecord {
   std::string id;
-  /// stream, once, lookup, or a route of one configuration version.
+  /// "stream", "once", "lookup", or the route of one configuration version.
   std::string route;
-  /// The id of the last event it had already.
-  int resumed_behind = 0;
+  /// Id of the last event that an earlier attempt had received.
+  int resumed_after_event = 0;
   TimePoint sent;
   TimePoint ended;
-  /// Nothing if the connection ended without a whole answer.
+  /// Unset if the connection ended before the complete answer.
   std::optional<int> status;
   HttpFields fields;
   std::string body;
-  /// What came before the connection ended.
+  /// Whether the head of the answer was received.
   bool got_head = false;
 };
 
-/// Sends one request after another on a connection that it keeps open until
-/// the other side ends it.
+/// HTTP client that sends one request at a time on a persistent connection,
+/// which it keeps until the other side closes it.
 class Client {
  public:
-  using OnSeen = std::function<void(const Seen&)>;
+  using OnRequestDone = std::function<void(const RequestRecord&)>;
 
-  Client(EventLoop& loop, std::string address, OnSeen on_seen);
+  Client(EventLoop& loop, std::string address, OnRequestDone on_request_done);
   ~Client();
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
   bool busy() const { return busy_; }
   void Send(const std::string& id, const std::string& route);
-  /// Gives a request up that has no answer long after its time.
+  /// Ends a request that has no answer within the request timeout.
   void Tick();
 
  private:
   void Connect();
   void OnReadable();
-  void OnEnded(bool in_order);
-  void Finish(bool whole);
-  void Drop();
+  void OnConnectionEnded(bool orderly);
+  void Finish(bool complete);
+  void CloseConnection();
 
   EventLoop& loop_;
   SystemClock clock_;
   std::string address_;
-  OnSeen on_seen_;
-  bufferevent* events_ = nullptr;
+  OnRequestDone on_request_done_;
+  bufferevent* connection_ = nullptr;
   bool busy_ = false;
-  Seen seen_;
+  RequestRecord record_;
   ResponseReader reader_;
 };
 
--- a/test/soak/plan.h
+++ b/test/soak/plan.h
@@ -9,7 +9,7 @@
 
 namespace lavenderkeel::soak {
 
-/// What is done to the system from outside.
+/// Kind of fault that is injected into the system.
 enum class Fault {
   kKillEntry,
   kStopEntry,
@@ -34,14 +34,15 @@
 
 inline constexpr int kFaultKinds = static_cast<int>(Fault::kChangeConfig) + 1;
 
-/// One fault of a plan. Times are from the start of traffic.
+/// One fault of a plan.
 struct Step {
+  /// Since the start of traffic.
   Duration at{};
   Fault fault = Fault::kKillEntry;
-  /// Which entry or server, modulo their number.
+  /// Index of the entry or server, modulo their number.
   int target = 0;
-  /// How long it lasts, where it has an end.
-  Duration lasts{};
+  /// Duration of the fault, for kinds that end by themselves.
+  Duration duration{};
 
   friend bool operator==(const Step&, const Step&) = default;
 };
@@ -54,8 +55,9 @@
   std::vector<Step> steps;
 };
 
-/// The plan of a seed: always the same one. Faults come in series and overlap;
-/// the last third of the traffic is left calm, so that recovery can be seen.
+/// Generates the plan of a seed, deterministically. Faults may follow each
+/// other closely and overlap. The last third of the traffic has no faults, so
+/// that recovery is observable.
 Plan MakePlan(uint64_t seed);
 
 std::string Describe(const Step& step);
--- a/test/soak/soak_main.cc
+++ b/test/soak/soak_main.cc
@@ -1,8 +1,9 @@
-// Plays fault plans over the real programs and checks the promises.
-// Use: soak FIRST_SEED [RUNS [timed]]. With "timed" it also checks how soon
-// answers come, for a machine that does nothing else. Prints a line a seed; on
-// a broken promise the plan, the promises with the requests' ids, and where the
-// logs are kept.
+// Soak test: runs the real programs under generated fault plans and checks the
+// system's guarantees.
+// Usage: soak FIRST_SEED [RUNS [timed]]. "timed" also checks answer times, for
+// a machine that runs nothing else. Prints one line per seed and, on a
+// violation, the plan, the violated guarantees with the ids of the requests,
+// and the directory of the logs.
 #include <cstdlib>
 #include <iostream>
 #include <memory>
@@ -22,12 +23,13 @@
 constexpr size_t kClients = 10;
 constexpr Duration kRecoveryTime = std::chrono::seconds(12);
 
-/// One seed, from the start of its processes to the verdict.
+/// Test run of one seed, from the start of the processes to the result.
 class Run {
  public:
   Run(uint64_t seed, bool timed)
       : plan_(MakePlan(seed)), system_(plan_, loop_), checker_(timed) {
-    // Turns the loop now and then, so that waits see their conditions.
+    // Stops the loop periodically, so that callers of Run() can test their
+    // conditions.
     loop_.Every(std::chrono::milliseconds(4), [this] { loop_.Stop(); });
   }
 
@@ -40,18 +42,19 @@
     for (size_t i = 0; i < kClients; ++i) {
       clients_.push_back(std::make_unique<Client>(
           loop_, system_.EntryAddress(i % system_.entries()),
-          [this](const Seen& seen) {
-            calm_ ? checker_.OnCalm(seen) : checker_.OnSeen(seen);
+          [this](const RequestRecord& record) {
+            recovered_ ? checker_.OnRequestAfterRecovery(record)
+                       : checker_.OnRequestDone(record);
           }));
     }
-    Traffic();
-    Recover();
+    RunTraffic();
+    CheckRecovery();
     checker_.OnRuns(system_.Runs());
     return Report();
   }
 
  private:
-  void SendWhereIdle() {
+  void SendFromIdleClients() {
     static constexpr const char* kRoutes[] = {"stream", "once", "lookup",
                                               "once"};
     for (size_t i = 0; i < clients_.size(); ++i) {
@@ -64,7 +67,7 @@
     }
   }
 
-  void Traffic() {
+  void RunTraffic() {
     const TimePoint start = clock_.Now();
     size_t next = 0;
     while (clock_.Now() - start < plan_.traffic) {
@@ -73,7 +76,7 @@
         system_.Inject(plan_.steps[next++]);
       }
       system_.Tick();
-      SendWhereIdle();
+      SendFromIdleClients();
       loop_.Run();
     }
   }
@@ -87,8 +90,9 @@
     return false;
   }
 
-  /// Ends all faults, lets what is under way end, then wants all served.
-  void Recover() {
+  /// Ends all faults, waits for the requests under way, and checks that new
+  /// requests are served.
+  void CheckRecovery() {
     system_.Heal();
     const TimePoint healed = clock_.Now();
     while (AnyBusy() || !system_.healed() ||
@@ -99,10 +103,10 @@
       }
       loop_.Run();
     }
-    calm_ = true;
+    recovered_ = true;
     constexpr int kRounds = 3;
     for (int round = 0; round < kRounds; ++round) {
-      SendWhereIdle();
+      SendFromIdleClients();
       while (AnyBusy()) {
         system_.Tick();
         for (const auto& client : clients_) {
@@ -114,7 +118,7 @@
   }
 
   bool Report() {
-    const bool holds = checker_.broken().empty();
+    const bool holds = checker_.violations().empty();
     std::cout << "seed " << plan_.seed << ": " << (holds ? "holds" : "BROKEN")
               << ", " << plan_.entries << " entries, " << plan_.servers
               << " servers, " << plan_.steps.size() << " faults, " << sent_
@@ -128,8 +132,8 @@
     for (const Step& step : plan_.steps) {
       std::cout << "  " << Describe(step) << "\n";
     }
-    for (const std::string& promise : checker_.broken()) {
-      std::cout << "  broken: " << promise << "\n";
+    for (const std::string& violation : checker_.violations()) {
+      std::cout << "  broken: " << violation << "\n";
     }
     std::cout << "  logs: " << system_.directory() << std::endl;
     return false;
@@ -142,12 +146,12 @@
   Checker checker_;
   std::vector<std::unique_ptr<Client>> clients_;
   uint64_t sent_ = 0;
-  bool calm_ = false;
+  bool recovered_ = false;
 };
 
 int Main(int argc, char** argv) {
   if (argc < 2) {
-    std::cerr << "use: soak FIRST_SEED [RUNS [timed]]\n";
+    std::cerr << "usage: soak FIRST_SEED [RUNS [timed]]\n";
     return kBadUseStatus;
   }
   PrepareProcess();
--- a/test/soak/system.cc
+++ b/test/soak/system.cc
@@ -131,13 +131,13 @@
   PutObject("/objects/config/main", body.str());
 }
 
-void System::Later(Duration after, std::function<void()> what) {
-  pending_.push_back({.at = clock_.Now() + after, .what = std::move(what)});
+void System::Schedule(Duration after, std::function<void()> action) {
+  pending_.push_back({.at = clock_.Now() + after, .action = std::move(action)});
 }
 
-void System::Pause(const std::string& name, Duration lasts) {
+void System::Pause(const std::string& name, Duration duration) {
   processes_.Signal(name, SIGSTOP);
-  Later(lasts, [this, name] {
+  Schedule(duration, [this, name] {
     if (processes_.Has(name)) {
       processes_.Signal(name, SIGCONT);
     }
@@ -148,11 +148,12 @@
   switch (step.fault) {
     case Fault::kKillAllEntries:
       for (Entry& entry : entries_) {
-        InjectAtEntry({.fault = Fault::kKillEntry, .lasts = step.lasts}, entry);
+        InjectAtEntry({.fault = Fault::kKillEntry, .duration = step.duration},
+                      entry);
       }
       return;
     case Fault::kPauseStore:
-      Pause("store", step.lasts);
+      Pause("store", step.duration);
       return;
     case Fault::kChangeConfig:
       PutConfig();
@@ -181,28 +182,28 @@
       return;
     case Fault::kPauseEntry:
       if (processes_.Has(entry.name)) {
-        Pause(entry.name, step.lasts);
+        Pause(entry.name, step.duration);
       }
       return;
     case Fault::kResetStoreLinks:
-      store.ResetOpen();
+      store.ResetOpenConnections();
       return;
     case Fault::kSilenceStoreLinks:
-      store.ForgetOpen();
+      store.StallOpenConnections();
       return;
     case Fault::kCutStoreOneWay:
-      store.Hold(/*to_target=*/false, /*from_target=*/true);
-      Later(step.lasts, [&store] { store.Hold(false, false); });
+      store.SetBlocked(/*to_target=*/false, /*from_target=*/true);
+      Schedule(step.duration, [&store] { store.SetBlocked(false, false); });
       return;
     case Fault::kResetPeerLinks:
-      peers.ResetOpen();
+      peers.ResetOpenConnections();
       return;
     case Fault::kSilencePeerLinks:
-      peers.ForgetOpen();
+      peers.StallOpenConnections();
       return;
     case Fault::kCutPeerOneWay:
-      peers.Hold(/*to_target=*/true, /*from_target=*/false);
-      Later(step.lasts, [&peers] { peers.Hold(false, false); });
+      peers.SetBlocked(/*to_target=*/true, /*from_target=*/false);
+      Schedule(step.duration, [&peers] { peers.SetBlocked(false, false); });
       return;
     default:
       return;
@@ -215,8 +216,8 @@
     case Fault::kKillServer:
       if (processes_.Has(server.name)) {
         processes_.Kill(server.name);
-        relay.ResetOpen();
-        Later(step.lasts, [this, &server] {
+        relay.ResetOpenConnections();
+        Schedule(step.duration, [this, &server] {
           http_.Start({.address = processes_.Address("store", "http"),
                        .method = "DELETE",
                        .path = "/objects/servers/" + server.id,
@@ -228,30 +229,30 @@
       return;
     case Fault::kPauseServer:
       if (processes_.Has(server.name)) {
-        Pause(server.name, step.lasts);
+        Pause(server.name, step.duration);
       }
       return;
     case Fault::kDrainServer:
       ListServer(server, /*draining=*/true);
-      Later(step.lasts, [this, &server] {
+      Schedule(step.duration, [this, &server] {
         if (processes_.Has(server.name)) {
           ListServer(server, /*draining=*/false);
         }
       });
       return;
     case Fault::kResetServerLinks:
-      relay.ResetOpen();
+      relay.ResetOpenConnections();
       return;
     case Fault::kSilenceServerLinks:
-      relay.ForgetOpen();
+      relay.StallOpenConnections();
       return;
     case Fault::kDelayServerLinks:
       relay.set_delay(std::chrono::milliseconds(120));
-      Later(step.lasts, [&relay] { relay.set_delay({}); });
+      Schedule(step.duration, [&relay] { relay.set_delay({}); });
       return;
     case Fault::kCutServerOneWay:
-      relay.Hold(/*to_target=*/false, /*from_target=*/true);
-      Later(step.lasts, [&relay] { relay.Hold(false, false); });
+      relay.SetBlocked(/*to_target=*/false, /*from_target=*/true);
+      Schedule(step.duration, [&relay] { relay.SetBlocked(false, false); });
       return;
     default:
       return;
@@ -268,9 +269,9 @@
     return now;
   });
   for (const Pending& pending : due) {
-    pending.what();
+    pending.action();
   }
-  // As the platform does: what ended is started again after a short delay.
+  // Like the platform, restarts processes that have ended, after a short delay.
   for (Entry& entry : entries_) {
     if (entry.starting && processes_.HasReadyFile(entry.name)) {
       entry.starting = false;
@@ -280,7 +281,7 @@
     const bool ended = !processes_.Has(entry.name) ||
                        processes_.TryJoin(entry.name).has_value();
     if (ended && !std::exchange(entry.restarting, true)) {
-      Later(std::chrono::milliseconds(150), [this, &entry] {
+      Schedule(std::chrono::milliseconds(150), [this, &entry] {
         entry.restarting = false;
         StartEntry(entry);
       });
--- a/test/soak/system.h
+++ b/test/soak/system.h
@@ -16,25 +16,28 @@
 
 namespace lavenderkeel::soak {
 
-/// The real programs and their stand-ins as processes on loopback. Entries
-/// reach servers, the store and each other through relays of their own.
+/// System under test: the real programs, a fake store and fake backend servers
+/// as processes on loopback. Connections to servers, to the store and between
+/// entries pass through relays, which inject network faults.
 class System {
  public:
   System(const Plan& plan, EventLoop& loop);
 
-  /// Starts everything; false if something does not come up.
+  /// Starts all processes and waits until the entries have listed the servers.
+  ///
+  /// @return false on a timeout
   bool Start();
-  /// Brings a fault about; what ends by itself does so later.
+  /// Injects a fault and schedules its end, if it has one.
   void Inject(const Step& step);
-  /// Undoes what has come to its end, restarts what has died.
+  /// Ends faults that are due and restarts entries that have ended.
   void Tick();
-  /// Ends all faults and starts what is down.
+  /// Ends all faults now and restarts processes that are down.
   void Heal();
   bool healed() const { return pending_.empty(); }
 
   std::string EntryAddress(size_t entry) const;
   size_t entries() const { return entries_.size(); }
-  /// Ids of requests that servers ran, as often as they ran them.
+  /// Ids of the requests that servers ran, once for each run.
   std::multiset<std::string> Runs() const;
   const std::string& directory() const { return processes_.directory(); }
   void KeepLogs() { processes_.set_keep(true); }
@@ -43,12 +46,12 @@
   struct Entry {
     std::string name;
     std::unique_ptr<test::Relay> store;
-    /// Clients and peers find it here again after a restart.
+    /// Addresses that stay the same across restarts of the entry.
     std::unique_ptr<test::Relay> clients;
     std::unique_ptr<test::Relay> peers;
-    /// Started, and its ready file is not read yet.
+    /// Started, but its ready file has not been read yet.
     bool starting = false;
-    /// Ended, and its restart is on the way.
+    /// Ended, and its restart is scheduled.
     bool restarting = false;
   };
   struct Server {
@@ -59,7 +62,7 @@
   };
   struct Pending {
     TimePoint at;
-    std::function<void()> what;
+    std::function<void()> action;
   };
 
   void StartEntry(Entry& entry);
@@ -67,11 +70,11 @@
   void ListServer(const Server& server, bool draining);
   void PutObject(const std::string& path, const std::string& body);
   void PutConfig();
-  void Later(Duration after, std::function<void()> what);
+  void Schedule(Duration after, std::function<void()> action);
   bool Wait(const std::function<bool()>& condition);
   void InjectAtEntry(const Step& step, Entry& entry);
   void InjectAtServer(const Step& step, Server& server);
-  void Pause(const std::string& name, Duration lasts);
+  void Pause(const std::string& name, Duration duration);
 
   Plan plan_;
   EventLoop& loop_;
