--- a/bench/slopes.cc
+++ b/bench/slopes.cc
@@ -22,8 +22,8 @@
 namespace {
 
 namespace json = boost::json;
+using fuzz::Simulation;
 using fuzz::VirtualClock;
-using fuzz::World;
 
 double HeapBytes() {
   return static_cast<double>(mallinfo2().uordblks);
@@ -96,12 +96,12 @@
   for (const RequestKey& key : keys) {
     ClaimRequest request;
     request.key = ToWire(key);
-    PutClaim(SampleClaim(), request);
+    WriteClaim(SampleClaim(), request);
     const std::string frame = EncodeFrame(request);
     const std::vector<uint8_t> bytes(frame.begin(), frame.end());
     const auto message = Catch([&] { return DecodeFrame(bytes); });
     const auto& read = std::get<ClaimRequest>(*message.value);
-    table.Request(FromWire(read.key), TakeClaim(read), {});
+    table.Request(FromWire(read.key), ReadClaim(read), {});
   }
   return UserMicroseconds() - before;
 }
@@ -113,7 +113,7 @@
   for (const RequestKey& key : MakeKeys(count)) {
     ClaimRequest request;
     request.key = ToWire(key);
-    PutClaim(SampleClaim(), request);
+    WriteClaim(SampleClaim(), request);
     ClaimReply reply;
     reply.key = request.key;
     reply.granted = true;
@@ -149,7 +149,7 @@
   explicit LoadedStore(size_t teams) {
     const std::string text = TeamsDocument(teams);
     const auto document = Catch([&] { return ParseConfigDocument(text); });
-    sharded = CutIntoShards(*document.value);
+    sharded = SplitIntoShards(*document.value);
     head.version = 1;
     head.preset = "ordinary";
     head.base = sharded.base.name;
@@ -159,7 +159,7 @@
     Load();
   }
   void Load() {
-    store.Offer(head);
+    store.OfferHead(head);
     store.AddShard(sharded.base.name, sharded.base.body);
     for (const ConfigShard& shard : sharded.teams) {
       store.AddShard(shard.name, shard.body);
@@ -197,7 +197,7 @@
   const double before = UserMicroseconds();
   for (int i = 0; i < kChanges; ++i) {
     ++loaded.head.version;
-    loaded.store.Offer(loaded.head);
+    loaded.store.OfferHead(loaded.head);
   }
   return (UserMicroseconds() - before) / kChanges;
 }
@@ -289,20 +289,22 @@
 /// Returns a quantity of an idle fleet over a minute of virtual time, per
 /// second and entry, or for the whole platform.
 double MeasureIdleFleet(size_t entries, size_t agents, FleetQuantity quantity) {
-  World world({.entries = entries, .agents = agents});
+  Simulation simulation({.entries = entries, .agents = agents});
   constexpr double kSeconds = 60;
-  const uint64_t bytes = world.bytes_sent(0);
-  const uint64_t messages = world.messages_sent(0);
-  const uint64_t calls = world.platform_calls();
+  const uint64_t bytes = simulation.bytes_sent(0);
+  const uint64_t messages = simulation.messages_sent(0);
+  const uint64_t calls = simulation.platform_calls();
   const double before = UserMicroseconds();
-  world.RunFor(std::chrono::seconds(static_cast<int>(kSeconds)));
+  simulation.RunFor(std::chrono::seconds(static_cast<int>(kSeconds)));
   switch (quantity) {
     case FleetQuantity::kBytes:
-      return static_cast<double>(world.bytes_sent(0) - bytes) / kSeconds;
+      return static_cast<double>(simulation.bytes_sent(0) - bytes) / kSeconds;
     case FleetQuantity::kMessages:
-      return static_cast<double>(world.messages_sent(0) - messages) / kSeconds;
+      return static_cast<double>(simulation.messages_sent(0) - messages) /
+             kSeconds;
     case FleetQuantity::kCalls:
-      return static_cast<double>(world.platform_calls() - calls) / kSeconds;
+      return static_cast<double>(simulation.platform_calls() - calls) /
+             kSeconds;
     case FleetQuantity::kTime:
       return (UserMicroseconds() - before) / kSeconds /
              static_cast<double>(entries + agents);
@@ -321,51 +323,54 @@
 /// Returns a quantity of `count` checks of ten tokens through one entry and two
 /// agents.
 double MeasureRequests(size_t count, RequestQuantity quantity) {
-  World world({.entries = 1, .agents = 2});
-  world.RunFor(std::chrono::seconds(1));
-  const uint64_t entry_bytes = world.bytes_sent(0);
-  const uint64_t agent_bytes = world.bytes_sent(1) + world.bytes_sent(2);
-  const uint64_t messages =
-      world.messages_sent(0) + world.messages_sent(1) + world.messages_sent(2);
+  Simulation simulation({.entries = 1, .agents = 2});
+  simulation.RunFor(std::chrono::seconds(1));
+  const uint64_t entry_bytes = simulation.bytes_sent(0);
+  const uint64_t agent_bytes =
+      simulation.bytes_sent(1) + simulation.bytes_sent(2);
+  const uint64_t messages = simulation.messages_sent(0) +
+                            simulation.messages_sent(1) +
+                            simulation.messages_sent(2);
   const double before = UserMicroseconds();
   const double heap = HeapBytes();
   for (size_t i = 0; i < count; ++i) {
-    world.Submit(0, world.NewKey(), "r" + std::to_string(i) + "x", false, 10);
+    simulation.Submit(0, simulation.NewKey(), "r" + std::to_string(i) + "x",
+                      false, 10);
   }
   if (quantity == RequestQuantity::kMemory) {
-    world.RunFor(std::chrono::milliseconds(20));
+    simulation.RunFor(std::chrono::milliseconds(20));
     return HeapBytes() - heap;
   }
-  world.RunUntil([&] { return world.oracle().open() == 0; },
-                 std::chrono::hours(1));
+  simulation.RunUntil([&] { return simulation.oracle().open() == 0; },
+                      std::chrono::hours(1));
   switch (quantity) {
     case RequestQuantity::kEntryBytes:
-      return static_cast<double>(world.bytes_sent(0) - entry_bytes);
+      return static_cast<double>(simulation.bytes_sent(0) - entry_bytes);
     case RequestQuantity::kAgentBytes:
-      return static_cast<double>(world.bytes_sent(1) + world.bytes_sent(2) -
-                                 agent_bytes);
+      return static_cast<double>(simulation.bytes_sent(1) +
+                                 simulation.bytes_sent(2) - agent_bytes);
     case RequestQuantity::kMessages:
-      return static_cast<double>(world.messages_sent(0) +
-                                 world.messages_sent(1) +
-                                 world.messages_sent(2) - messages);
+      return static_cast<double>(simulation.messages_sent(0) +
+                                 simulation.messages_sent(1) +
+                                 simulation.messages_sent(2) - messages);
     default:
       return UserMicroseconds() - before;
   }
 }
 
 double CallsPerStart(size_t starts, bool entry) {
-  World world({.entries = 3, .agents = 2});
+  Simulation simulation({.entries = 3, .agents = 2});
   const size_t process = entry ? 2 : 3;
   const auto calls_of = [&](size_t count) {
-    const uint64_t before = world.platform_calls();
+    const uint64_t before = simulation.platform_calls();
     for (size_t i = 0; i < 8; ++i) {
       if (i < count) {
-        world.Kill(process, false);
-        world.Restart(process);
+        simulation.Kill(process, false);
+        simulation.Restart(process);
       }
-      world.RunFor(std::chrono::seconds(3));
+      simulation.RunFor(std::chrono::seconds(3));
     }
-    return static_cast<double>(world.platform_calls() - before);
+    return static_cast<double>(simulation.platform_calls() - before);
   };
   const double calls_without_starts = calls_of(0);
   return calls_of(starts) - calls_without_starts;
--- a/lavenderkeel/action/action.h
+++ b/lavenderkeel/action/action.h
@@ -50,7 +50,7 @@
 };
 
 /// Sends a complete response.
-struct ReplyWhole {
+struct ReplyComplete {
   CallerId caller = 0;
   int status = 200;
   HttpHeaders headers;
@@ -66,7 +66,7 @@
 
 /// Sends a chunk of a streamed response; OnCallerDrained follows once it is
 /// written.
-struct ReplyData {
+struct ReplyChunk {
   CallerId caller = 0;
   std::string bytes;
 };
@@ -108,9 +108,9 @@
                             CloseLink,
                             Dial,
                             PlatformCall,
-                            ReplyWhole,
+                            ReplyComplete,
                             ReplyHead,
-                            ReplyData,
+                            ReplyChunk,
                             ReplyEnd,
                             ReplyAbort,
                             ServerStart,
--- a/lavenderkeel/admission/in_flight_limit.h
+++ b/lavenderkeel/admission/in_flight_limit.h
@@ -16,16 +16,16 @@
 class InFlightLimit {
  public:
   struct Options {
-    uint32_t least = 1;
-    uint32_t first = 8;
-    uint32_t most = 64;
+    uint32_t min = 1;
+    uint32_t initial = 8;
+    uint32_t max = 64;
     Duration between_tokens = std::chrono::milliseconds(49);
     Duration period = std::chrono::milliseconds(500);
   };
 
   InFlightLimit() = default;
   explicit InFlightLimit(Options options)
-      : options_(options), limit_(options.first) {}
+      : options_(options), limit_(options.initial) {}
 
   uint32_t limit() const { return limit_; }
 
@@ -48,15 +48,15 @@
     sum_ = Duration::zero();
     samples_ = 0;
     if (mean > options_.between_tokens) {
-      limit_ = std::max(options_.least, limit_ * 9 / 10);
+      limit_ = std::max(options_.min, limit_ * 9 / 10);
     } else if (running >= limit_) {
-      limit_ = std::min(options_.most, limit_ + 1);
+      limit_ = std::min(options_.max, limit_ + 1);
     }
   }
 
  private:
   Options options_;
-  uint32_t limit_ = Options().first;
+  uint32_t limit_ = Options().initial;
   Duration sum_ = Duration::zero();
   int64_t samples_ = 0;
   TimePoint next_;
--- a/lavenderkeel/admission/reservation_queue.cc
+++ b/lavenderkeel/admission/reservation_queue.cc
@@ -49,7 +49,7 @@
 }
 
 const Reservation* ReservationQueue::Next(TimePoint now,
-                                          const TierOpen& is_open) const {
+                                          const IsTierOpen& is_open) const {
   for (const auto& [tier, queue] : tiers_) {
     if (queue.size > 0 && is_open(tier)) {
       return NextInTier(queue, now);
@@ -81,7 +81,7 @@
   return aged ? next_by_fairness : Find(queue.by_deadline.begin()->second);
 }
 
-Reservation ReservationQueue::Take(const ReservationId& id) {
+Reservation ReservationQueue::Dequeue(const ReservationId& id) {
   const Reservation* reservation = Find(id);
   assert(reservation != nullptr);
   TierQueue& queue = tiers_.at(reservation->tier);
@@ -102,7 +102,7 @@
   return ids;
 }
 
-size_t ReservationQueue::waiting(uint32_t tier) const {
+size_t ReservationQueue::waiting_count(uint32_t tier) const {
   const auto found = tiers_.find(tier);
   return found == tiers_.end() ? 0 : found->second.size;
 }
--- a/lavenderkeel/admission/reservation_queue.h
+++ b/lavenderkeel/admission/reservation_queue.h
@@ -24,7 +24,7 @@
     Duration aging = std::chrono::seconds(30);
   };
   /// Returns true if reservations of the tier may start now.
-  using TierOpen = std::function<bool(uint32_t tier)>;
+  using IsTierOpen = std::function<bool(uint32_t tier)>;
 
   ReservationQueue() = default;
   explicit ReservationQueue(Options options) : options_(options) {}
@@ -35,14 +35,14 @@
   const Reservation* Find(const ReservationId& id) const;
 
   /// Returns the next reservation to start, or null, without removing it.
-  const Reservation* Next(TimePoint now, const TierOpen& is_open) const;
+  const Reservation* Next(TimePoint now, const IsTierOpen& is_open) const;
   /// Removes a reservation and charges its cost to its team.
-  Reservation Take(const ReservationId& id);
+  Reservation Dequeue(const ReservationId& id);
 
   std::vector<ReservationId> Select(
       const std::function<bool(const Reservation&)>& matches) const;
   size_t size() const { return by_id_.size(); }
-  size_t waiting(uint32_t tier) const;
+  size_t waiting_count(uint32_t tier) const;
 
  private:
   using ReservationList = std::list<Reservation>;
--- a/lavenderkeel/claim.h
+++ b/lavenderkeel/claim.h
@@ -5,6 +5,6 @@
 #include "lavenderkeel/claim/claim.h"
 #include "lavenderkeel/claim/claim_table.h"
 #include "lavenderkeel/claim/claimer.h"
-#include "lavenderkeel/claim/key_register.h"
+#include "lavenderkeel/claim/key_arbiter.h"
 
 #endif  // LAVENDERKEEL_CLAIM_H_
--- a/lavenderkeel/claim/claim.h
+++ b/lavenderkeel/claim/claim.h
@@ -12,7 +12,7 @@
 
 /// How far the platform takes part in deciding a claim. The values are on the
 /// wire.
-enum class ClaimStanding : uint8_t {
+enum class ClaimStatus : uint8_t {
   /// The platform is not involved, or granted the key to the owner.
   kPlain = 0,
   /// The decision of the platform is pending.
@@ -23,9 +23,9 @@
 
 /// Converts a value from a message; unknown values become kRefused, so that the
 /// claim does not count as confirmed.
-inline ClaimStanding ToClaimStanding(uint8_t value) {
-  return static_cast<ClaimStanding>(
-      std::min(value, static_cast<uint8_t>(ClaimStanding::kRefused)));
+inline ClaimStatus ToClaimStatus(uint8_t value) {
+  return static_cast<ClaimStatus>(
+      std::min(value, static_cast<uint8_t>(ClaimStatus::kRefused)));
 }
 
 /// Assignment of a request key to one entry incarnation. Keys are already
@@ -42,19 +42,19 @@
   /// claim may exist elsewhere, and the request may have run even if no agent
   /// of this claim has it.
   bool confirmed = false;
-  ClaimStanding standing = ClaimStanding::kPlain;
+  ClaimStatus status = ClaimStatus::kPlain;
 
   friend bool operator==(const Claim&, const Claim&) = default;
 };
 
 /// Copies a claim into a ClaimRequest or ClaimReply.
 template <typename ClaimMessage>
-void PutClaim(const Claim& claim, ClaimMessage& message) {
+void WriteClaim(const Claim& claim, ClaimMessage& message) {
   message.owner_instance = claim.owner.instance;
   message.owner_incarnation = claim.owner.incarnation;
   message.body_hash = claim.body_hash;
   message.confirmed = claim.confirmed;
-  message.standing = static_cast<uint8_t>(claim.standing);
+  message.standing = static_cast<uint8_t>(claim.status);
   for (const PeerId& agent : claim.agents) {
     message.agents.push_back(agent.instance);
     message.agent_incarnations.push_back(agent.incarnation);
@@ -63,13 +63,13 @@
 
 /// Reads the claim of a ClaimRequest or ClaimReply.
 template <typename ClaimMessage>
-Claim TakeClaim(const ClaimMessage& message) {
+Claim ReadClaim(const ClaimMessage& message) {
   Claim claim{.owner = {.instance = message.owner_instance,
                         .incarnation = message.owner_incarnation},
               .body_hash = message.body_hash,
               .agents = {},
               .confirmed = message.confirmed,
-              .standing = ToClaimStanding(message.standing)};
+              .status = ToClaimStatus(message.standing)};
   const size_t agents =
       std::min(message.agents.size(), message.agent_incarnations.size());
   for (size_t i = 0; i < agents; ++i) {
--- a/lavenderkeel/claim/claim_table.cc
+++ b/lavenderkeel/claim/claim_table.cc
@@ -6,7 +6,7 @@
 
 ClaimTable::ClaimTable(Options options,
                        const Clock& clock,
-                       MetEveryClaim knows_every_claim,
+                       KnowsEveryClaim knows_every_claim,
                        CoverageOf coverage_of)
     : options_(options),
       clock_(clock),
@@ -42,15 +42,15 @@
   // confirmed claim would start the request a second time. The owner confirms
   // the claim once the platform has granted the key.
   const bool is_decided = wanted.confirmed || coverage == HolderCoverage::kFull;
-  const ClaimStanding standing =
-      is_decided ? wanted.standing
-                 : std::max(wanted.standing, ClaimStanding::kTentative);
-  const bool is_first = vouched && standing == ClaimStanding::kPlain;
+  const ClaimStatus status =
+      is_decided ? wanted.status
+                 : std::max(wanted.status, ClaimStatus::kTentative);
+  const bool is_first = vouched && status == ClaimStatus::kPlain;
   StoredClaim stored{.owner = peers_.Acquire(wanted.owner),
                      .body_hash = wanted.body_hash,
                      .agents = {},
                      .confirmed = is_first || wanted.confirmed,
-                     .standing = standing};
+                     .status = status};
   AddAgents(stored, wanted.agents);
   const Claim stored_claim = Unpack(stored);
   claims_.emplace(key, stored);
@@ -87,13 +87,12 @@
 
 ClaimTable::Answer ClaimTable::UpdateClaim(StoredClaim& stored,
                                            const Claim& wanted) {
-  const bool is_refused = wanted.standing == ClaimStanding::kRefused;
+  const bool is_refused = wanted.status == ClaimStatus::kRefused;
   const bool confirmed = (stored.confirmed || wanted.confirmed) && !is_refused;
   const bool is_updated =
       peers_.Get(stored.owner) != wanted.owner || stored.confirmed != confirmed;
   if (confirmed || is_refused) {
-    stored.standing =
-        is_refused ? ClaimStanding::kRefused : ClaimStanding::kPlain;
+    stored.status = is_refused ? ClaimStatus::kRefused : ClaimStatus::kPlain;
   }
   const PeerPool::Index former_owner = stored.owner;
   stored.owner = peers_.Acquire(wanted.owner);
@@ -111,7 +110,7 @@
               .body_hash = stored.body_hash,
               .agents = {},
               .confirmed = stored.confirmed,
-              .standing = stored.standing};
+              .status = stored.status};
   claim.agents.reserve(stored.agents.size());
   for (const PeerPool::Index agent : stored.agents) {
     claim.agents.push_back(peers_.Get(agent));
@@ -170,7 +169,7 @@
          knows_every_claim_(key);
 }
 
-void ClaimTable::CannotVouchUntilNow() {
+void ClaimTable::DisclaimKeysUntilNow() {
   claims_complete_since_ = std::max(claims_complete_since_, clock_.WallNow());
 }
 
@@ -186,7 +185,7 @@
 
 void ClaimTable::DropOldest() {
   // The dropped claim may belong to any key first sent before now.
-  CannotVouchUntilNow();
+  DisclaimKeysUntilNow();
   Erase(by_age_.front().second);
   by_age_.pop_front();
 }
--- a/lavenderkeel/claim/claim_table.h
+++ b/lavenderkeel/claim/claim_table.h
@@ -43,7 +43,7 @@
 
   /// Returns true if the rank of this entry ensures that every claim on the key
   /// was sent to it.
-  using MetEveryClaim = std::function<bool(const RequestKey&)>;
+  using KnowsEveryClaim = std::function<bool(const RequestKey&)>;
 
   /// Returns what the reachable holders of a key know together.
   using CoverageOf = std::function<HolderCoverage(const RequestKey&)>;
@@ -51,7 +51,7 @@
   /// @param coverage_of if empty, always HolderCoverage::kFull
   ClaimTable(Options options,
              const Clock& clock,
-             MetEveryClaim knows_every_claim,
+             KnowsEveryClaim knows_every_claim,
              CoverageOf coverage_of = nullptr);
 
   /// Grants the key to the wanted owner unless another entry owns it.
@@ -68,7 +68,7 @@
 
   /// Makes this entry vouch only for keys first sent after now, since it has
   /// just started, was cut off or frozen, or had to drop claims.
-  void CannotVouchUntilNow();
+  void DisclaimKeysUntilNow();
 
   /// Drops claims older than the retention time.
   void Tick();
@@ -94,7 +94,7 @@
     uint64_t body_hash = 0;
     std::vector<PeerPool::Index> agents;
     bool confirmed = false;
-    ClaimStanding standing = ClaimStanding::kPlain;
+    ClaimStatus status = ClaimStatus::kPlain;
   };
 
   Claim Unpack(const StoredClaim& stored) const;
@@ -112,7 +112,7 @@
 
   Options options_;
   const Clock& clock_;
-  MetEveryClaim knows_every_claim_;
+  KnowsEveryClaim knows_every_claim_;
   CoverageOf coverage_of_;
   WallTime claims_complete_since_;
   std::unordered_map<RequestKey, StoredClaim, RequestKeyHash> claims_;
--- a/lavenderkeel/claim/claimer.cc
+++ b/lavenderkeel/claim/claimer.cc
@@ -50,8 +50,8 @@
   hooks_.on_claim();
   if (operation.result.coverage != HolderCoverage::kFull &&
       !operation.wanted.confirmed &&
-      operation.wanted.standing == ClaimStanding::kPlain) {
-    operation.wanted.standing = ClaimStanding::kTentative;
+      operation.wanted.status == ClaimStatus::kPlain) {
+    operation.wanted.status = ClaimStatus::kTentative;
   }
   return true;
 }
@@ -113,7 +113,7 @@
   request.lookup = operation.lookup;
   request.replaces_instance = operation.replaces.instance;
   request.replaces_incarnation = operation.replaces.incarnation;
-  PutClaim(operation.wanted, request);
+  WriteClaim(operation.wanted, request);
   outbox_.Send(link, std::move(request));
 }
 
@@ -126,15 +126,15 @@
       LesserCoverage(operation.result.coverage, answer.coverage);
   if (answer.granted) {
     operation.result.vouched |= answer.vouched;
-    operation.result.witnessed |=
-        answer.vouched && ranking_.RanksBesideLost(holder, operation.key);
+    operation.result.vouched_for_lost_holders |=
+        answer.vouched && ranking_.IsCoHolderWithLost(holder, operation.key);
     return false;
   }
   if (operation.lookup && answer.claim.owner == operation.replaces) {
     return false;
   }
   const bool undecided =
-      !answer.claim.confirmed && answer.claim.standing != ClaimStanding::kPlain;
+      !answer.claim.confirmed && answer.claim.status != ClaimStatus::kPlain;
   if (undecided && !operation.lookup) {
     // Another entry that is cut off from the other holder has claimed the key
     // here and waits for the platform. The other holder, which this entry can
@@ -150,15 +150,15 @@
   // not hide the earlier one, or the request runs again: a claim that its
   // holder could not vouch for does not end the search.
   operation.result.claim = answer.claim;
-  operation.result.kind = ClaimVerdict::Kind::kHeld;
+  operation.result.kind = ClaimResult::Kind::kHeld;
   return answer.claim.confirmed;
 }
 
 void Claimer::ComputeResult(Operation& operation) const {
-  ClaimVerdict& result = operation.result;
+  ClaimResult& result = operation.result;
   result.coverage =
       LesserCoverage(result.coverage, ranking_.Coverage(operation.key));
-  const bool is_held = result.kind == ClaimVerdict::Kind::kHeld;
+  const bool is_held = result.kind == ClaimResult::Kind::kHeld;
   // Two entries that started together may not know each other yet, and one of
   // them vouches although it does not receive the other's claims; both would
   // run the request. A claim of an unknown entry shows that this view is too
@@ -169,7 +169,7 @@
   if (!(is_held && result.claim.confirmed) && !owner_unknown &&
       result.vouched) {
     // A holder that knows of every claim knew of none before this one.
-    result.kind = ClaimVerdict::Kind::kOurs;
+    result.kind = ClaimResult::Kind::kGranted;
   }
 }
 
@@ -189,7 +189,7 @@
   }
   const ClaimTable::Answer answer{.granted = reply.granted,
                                   .vouched = reply.vouched,
-                                  .claim = TakeClaim(reply),
+                                  .claim = ReadClaim(reply),
                                   .coverage = ToHolderCoverage(reply.coverage)};
   if (ApplyAnswer(operation, answer)) {
     operation.next_holder = operation.holders.size();
--- a/lavenderkeel/claim/claimer.h
+++ b/lavenderkeel/claim/claimer.h
@@ -14,20 +14,21 @@
 namespace lavenderkeel {
 
 /// Combined result of the answers of all holders.
-struct ClaimVerdict {
+struct ClaimResult {
   enum class Kind {
-    /// This entry owns the key. See vouched, witnessed and coverage.
-    kOurs,
+    /// This entry owns the key. See vouched, vouched_for_lost_holders and
+    /// coverage.
+    kGranted,
     /// Another entry owns the key; see `claim`.
     kHeld,
   };
 
-  Kind kind = Kind::kOurs;
+  Kind kind = Kind::kGranted;
   /// At least one holder vouched that the key was unused.
   bool vouched = false;
   /// A holder that vouched shares the key with each lost holder, see
-  /// HolderRanking::RanksBesideLost.
-  bool witnessed = false;
+  /// HolderRanking::IsCoHolderWithLost.
+  bool vouched_for_lost_holders = false;
   /// The lowest coverage of this entry and the holders that answered. Below
   /// kFull, an entry that is cut off from this one may own the key.
   HolderCoverage coverage = HolderCoverage::kFull;
@@ -42,7 +43,7 @@
 /// once, two entries with the same key could each win one holder.
 class Claimer {
  public:
-  using Done = std::function<void(const RequestKey&, const ClaimVerdict&)>;
+  using Done = std::function<void(const RequestKey&, const ClaimResult&)>;
 
   struct Hooks {
     /// Returns false while this entry has not connected to all others yet;
@@ -89,7 +90,7 @@
     std::vector<std::string> holders;
     size_t next_holder = 0;
     bool request_sent = false;
-    ClaimVerdict result;
+    ClaimResult result;
   };
 
   /// Chooses the holders; returns false while that has to wait.
--- a/lavenderkeel/claim/key_register.cc
+++ b/lavenderkeel/claim/key_arbiter.cc
@@ -1,4 +1,4 @@
-#include "lavenderkeel/claim/key_register.h"
+#include "lavenderkeel/claim/key_arbiter.h"
 
 #include <boost/json.hpp>
 #include <optional>
@@ -15,13 +15,13 @@
   return std::string(kObjectPrefix) + key.ToString();
 }
 
-std::string_view DecisionName(KeyRegister::Decision decision) {
+std::string_view DecisionName(KeyArbiter::Decision decision) {
   switch (decision) {
-    case KeyRegister::Decision::kOurs:
+    case KeyArbiter::Decision::kGranted:
       return "ours";
-    case KeyRegister::Decision::kTaken:
+    case KeyArbiter::Decision::kTaken:
       return "taken";
-    case KeyRegister::Decision::kUndecided:
+    case KeyArbiter::Decision::kUndecided:
       return "undecided";
   }
   return "undecided";
@@ -29,12 +29,12 @@
 
 }  // namespace
 
-KeyRegister::KeyRegister(Options options,
-                         const PeerId& self,
-                         const Clock& clock,
-                         std::mt19937_64& random,
-                         const EventLog& log,
-                         PlatformPort& port)
+KeyArbiter::KeyArbiter(Options options,
+                       const PeerId& self,
+                       const Clock& clock,
+                       std::mt19937_64& random,
+                       const EventLog& log,
+                       PlatformPort& port)
     : options_(options),
       self_(self),
       clock_(clock),
@@ -42,12 +42,12 @@
       log_(log),
       port_(port) {}
 
-std::string KeyRegister::OwnerJson() const {
+std::string KeyArbiter::OwnerJson() const {
   return json::serialize(json::object{{"instance", self_.instance},
                                       {"incarnation", self_.incarnation}});
 }
 
-void KeyRegister::Decide(const RequestKey& key, Done done) {
+void KeyArbiter::Decide(const RequestKey& key, Done done) {
   const TimePoint now = clock_.Now();
   if (pending_keys_ >= options_.max_pending_keys || now < paused_until_) {
     ReportDecision(LogLevel::kWarning, key, now, Decision::kUndecided, done);
@@ -61,34 +61,34 @@
       });
 }
 
-void KeyRegister::OnCreated(const RequestKey& key,
-                            TimePoint requested_at,
-                            const PlatformReply& reply,
-                            const Done& done) {
+void KeyArbiter::OnCreated(const RequestKey& key,
+                           TimePoint requested_at,
+                           const PlatformReply& reply,
+                           const Done& done) {
   if (reply.precondition_failed()) {
     ReadOwner(key, requested_at, done);
     return;
   }
-  Finish(key, requested_at, reply.ok() ? Decision::kOurs : Decision::kUndecided,
-         done);
+  Finish(key, requested_at,
+         reply.ok() ? Decision::kGranted : Decision::kUndecided, done);
 }
 
-void KeyRegister::ReadOwner(const RequestKey& key,
-                            TimePoint requested_at,
-                            Done done) {
+void KeyArbiter::ReadOwner(const RequestKey& key,
+                           TimePoint requested_at,
+                           Done done) {
   port_.Call(ReadObject(ObjectName(key)), [this, key, requested_at,
                                            done = std::move(done)](
                                               const PlatformReply& reply) {
     const Decision found =
-        reply.body == OwnerJson() ? Decision::kOurs : Decision::kTaken;
+        reply.body == OwnerJson() ? Decision::kGranted : Decision::kTaken;
     Finish(key, requested_at, reply.ok() ? found : Decision::kUndecided, done);
   });
 }
 
-void KeyRegister::Finish(const RequestKey& key,
-                         TimePoint requested_at,
-                         Decision decision,
-                         const Done& done) {
+void KeyArbiter::Finish(const RequestKey& key,
+                        TimePoint requested_at,
+                        Decision decision,
+                        const Done& done) {
   --pending_keys_;
   if (decision == Decision::kUndecided) {
     paused_until_ = clock_.Now() + options_.pause_after_failure;
@@ -96,11 +96,11 @@
   ReportDecision(LogLevel::kInfo, key, requested_at, decision, done);
 }
 
-void KeyRegister::ReportDecision(LogLevel level,
-                                 const RequestKey& key,
-                                 TimePoint requested_at,
-                                 Decision decision,
-                                 const Done& done) const {
+void KeyArbiter::ReportDecision(LogLevel level,
+                                const RequestKey& key,
+                                TimePoint requested_at,
+                                Decision decision,
+                                const Done& done) const {
   log_.Write(level, "key_decided",
              {{"key", key.ToString()},
               {"decision", DecisionName(decision)},
@@ -109,7 +109,7 @@
   done(key, decision);
 }
 
-void KeyRegister::Tick() {
+void KeyArbiter::Tick() {
   const TimePoint now = clock_.Now();
   if (next_sweep_at_ == TimePoint()) {
     // The first sweep is delayed by a random time too: a starting fleet must
@@ -133,13 +133,13 @@
   }
 }
 
-void KeyRegister::Sweep() {
+void KeyArbiter::Sweep() {
   port_.Call({.method = "GET",
               .path = "/objects?prefix=" + std::string(kObjectPrefix)},
              [this](const PlatformReply& reply) { OnList(reply); });
 }
 
-void KeyRegister::OnList(const PlatformReply& reply) {
+void KeyArbiter::OnList(const PlatformReply& reply) {
   boost::system::error_code error;
   const json::value list = json::parse(reply.body, error);
   const json::value* objects = !reply.ok() || error || !list.is_object()
--- a/lavenderkeel/claim/key_register.h
+++ b/lavenderkeel/claim/key_arbiter.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_CLAIM_KEY_REGISTER_H_
-#define LAVENDERKEEL_CLAIM_KEY_REGISTER_H_
+#ifndef LAVENDERKEEL_CLAIM_KEY_ARBITER_H_
+#define LAVENDERKEEL_CLAIM_KEY_ARBITER_H_
 
 #include <deque>
 #include <functional>
@@ -24,7 +24,7 @@
 /// kept; with a guess, entries on both sides of a partition would start the
 /// request. The platform creates an object once, whichever entry asks and from
 /// whichever side.
-class KeyRegister {
+class KeyArbiter {
  public:
   struct Options {
     /// Limit on keys that wait for the platform at a time; keys beyond it are
@@ -42,7 +42,7 @@
   };
 
   enum class Decision {
-    kOurs,
+    kGranted,
     /// Another entry owns the key.
     kTaken,
     /// The platform did not answer or was not asked.
@@ -50,12 +50,12 @@
   };
   using Done = std::function<void(const RequestKey&, Decision)>;
 
-  KeyRegister(Options options,
-              const PeerId& self,
-              const Clock& clock,
-              std::mt19937_64& random,
-              const EventLog& log,
-              PlatformPort& port);
+  KeyArbiter(Options options,
+             const PeerId& self,
+             const Clock& clock,
+             std::mt19937_64& random,
+             const EventLog& log,
+             PlatformPort& port);
 
   /// @param done called once, before Decide returns if the platform is not
   ///     asked
@@ -103,4 +103,4 @@
 
 }  // namespace lavenderkeel
 
-#endif  // LAVENDERKEEL_CLAIM_KEY_REGISTER_H_
+#endif  // LAVENDERKEEL_CLAIM_KEY_ARBITER_H_
--- a/lavenderkeel/config.h
+++ b/lavenderkeel/config.h
@@ -4,10 +4,10 @@
 
 #include "lavenderkeel/config/config.h"
 #include "lavenderkeel/config/config_commit.h"
+#include "lavenderkeel/config/config_distributor.h"
 #include "lavenderkeel/config/config_head.h"
 #include "lavenderkeel/config/config_parser.h"
 #include "lavenderkeel/config/config_shards.h"
-#include "lavenderkeel/config/config_spread.h"
 #include "lavenderkeel/config/config_store.h"
 #include "lavenderkeel/config/sha256.h"
 
--- a/lavenderkeel/config/config_commit.h
+++ b/lavenderkeel/config/config_commit.h
@@ -44,8 +44,8 @@
     /// Accept the change only if this version is in force.
     std::optional<uint64_t> if_version;
     Duration timeout = std::chrono::seconds(10);
-    Backoff::Options retry = {.first = std::chrono::milliseconds(50),
-                              .longest = std::chrono::seconds(1)};
+    Backoff::Options retry = {.initial = std::chrono::milliseconds(50),
+                              .max = std::chrono::seconds(1)};
   };
 
   ConfigCommit(Options options,
--- a/lavenderkeel/config/config_spread.cc
+++ b/lavenderkeel/config/config_distributor.cc
@@ -1,4 +1,4 @@
-#include "lavenderkeel/config/config_spread.h"
+#include "lavenderkeel/config/config_distributor.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,13 +15,13 @@
 
 }  // namespace
 
-ConfigSpread::ConfigSpread(Options options,
-                           ConfigStore& store,
-                           const MemberTable& members,
-                           const Clock& clock,
-                           std::mt19937_64& random,
-                           PlatformPort& port,
-                           Outbox& outbox)
+ConfigDistributor::ConfigDistributor(Options options,
+                                     ConfigStore& store,
+                                     const MemberTable& members,
+                                     const Clock& clock,
+                                     std::mt19937_64& random,
+                                     PlatformPort& port,
+                                     Outbox& outbox)
     : options_(options),
       store_(store),
       members_(members),
@@ -30,11 +30,11 @@
       port_(port),
       outbox_(outbox) {}
 
-void ConfigSpread::Start() {
+void ConfigDistributor::Start() {
   ReadPlatform();
 }
 
-void ConfigSpread::Tick() {
+void ConfigDistributor::Tick() {
   const TimePoint now = clock_.Now();
   if (!reading_ && now >= next_read_) {
     ReadPlatform();
@@ -45,7 +45,7 @@
   }
 }
 
-bool ConfigSpread::IsWatcher() const {
+bool ConfigDistributor::IsWatcher() const {
   std::vector<std::string> candidates = {members_.self().id.instance};
   for (const Member* member : members_.Members(Role::kEntry)) {
     const bool is_near =
@@ -60,7 +60,7 @@
          watchers.end();
 }
 
-void ConfigSpread::ReadPlatform() {
+void ConfigDistributor::ReadPlatform() {
   reading_ = true;
   PlatformCall call = ReadObject(kHeadObject);
   if (!head_etag_.empty() && IsWatcher()) {
@@ -72,7 +72,7 @@
              [this](const PlatformReply& reply) { OnPlatformHead(reply); });
 }
 
-void ConfigSpread::OnPlatformHead(const PlatformReply& reply) {
+void ConfigDistributor::OnPlatformHead(const PlatformReply& reply) {
   reading_ = false;
   const bool answered = reply.ok() || reply.status == kNotModifiedStatus;
   const bool watch_again = answered && IsWatcher();
@@ -93,16 +93,16 @@
   }
 }
 
-void ConfigSpread::OnHead(LinkId link, const ConfigHeadNotice& notice) {
+void ConfigDistributor::OnHead(LinkId link, const ConfigHeadNotice& notice) {
   const auto head = Catch([&] { return ConfigHead::FromJson(notice.head); });
   if (head) {
     OfferFrom(link, *head.value);
   }
 }
 
-void ConfigSpread::OfferFrom(std::optional<LinkId> link,
-                             const ConfigHead& head) {
-  if (!store_.Offer(head)) {
+void ConfigDistributor::OfferFrom(std::optional<LinkId> link,
+                                  const ConfigHead& head) {
+  if (!store_.OfferHead(head)) {
     return;
   }
   source_ = link;
@@ -110,7 +110,7 @@
   FetchMissingShards();
 }
 
-void ConfigSpread::FetchMissingShards() {
+void ConfigDistributor::FetchMissingShards() {
   const std::vector<std::string> missing = store_.MissingShards();
   fetch_deadline_.reset();
   if (missing.empty()) {
@@ -126,7 +126,7 @@
   outbox_.Send(*source_, std::move(pull));
 }
 
-void ConfigSpread::FetchFromPlatform() {
+void ConfigDistributor::FetchFromPlatform() {
   for (const std::string& name : store_.MissingShards()) {
     if (!fetching_.insert(name).second) {
       continue;
@@ -141,7 +141,7 @@
   }
 }
 
-void ConfigSpread::OnPull(LinkId link, const ConfigPull& pull) {
+void ConfigDistributor::OnPull(LinkId link, const ConfigPull& pull) {
   if (!store_.current()) {
     return;
   }
@@ -172,7 +172,7 @@
   }
 }
 
-void ConfigSpread::OnShards(const ConfigShards& shards) {
+void ConfigDistributor::OnShards(const ConfigShards& shards) {
   const size_t count = std::min(shards.names.size(), shards.bodies.size());
   for (size_t i = 0; i < count; ++i) {
     store_.AddShard(shards.names[i], shards.bodies[i]);
@@ -182,7 +182,7 @@
   }
 }
 
-void ConfigSpread::OnPeerVersion(LinkId link, uint64_t version) {
+void ConfigDistributor::OnPeerVersion(LinkId link, uint64_t version) {
   const bool behind = version > store_.version();
   if (!behind || clock_.Now() < next_pull_) {
     return;
@@ -191,7 +191,7 @@
   outbox_.Send(link, ConfigPull());
 }
 
-void ConfigSpread::PushHead(const ConfigHead& head) {
+void ConfigDistributor::PushHead(const ConfigHead& head) {
   ConfigHeadNotice notice;
   notice.version = head.version;
   notice.head = head.ToJson();
--- a/lavenderkeel/config/config_spread.h
+++ b/lavenderkeel/config/config_distributor.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_CONFIG_CONFIG_SPREAD_H_
-#define LAVENDERKEEL_CONFIG_CONFIG_SPREAD_H_
+#ifndef LAVENDERKEEL_CONFIG_CONFIG_DISTRIBUTOR_H_
+#define LAVENDERKEEL_CONFIG_CONFIG_DISTRIBUTOR_H_
 
 #include <functional>
 #include <optional>
@@ -22,7 +22,7 @@
 /// heartbeat carries the version so that entries with an older one pull, and a
 /// few entries per data centre watch the platform. The first two work without
 /// the platform.
-class ConfigSpread {
+class ConfigDistributor {
  public:
   struct Options {
     /// Entries of a data centre that watch the platform; each waiting watch
@@ -37,13 +37,13 @@
     Duration pull_timeout = std::chrono::milliseconds(500);
   };
 
-  ConfigSpread(Options options,
-               ConfigStore& store,
-               const MemberTable& members,
-               const Clock& clock,
-               std::mt19937_64& random,
-               PlatformPort& port,
-               Outbox& outbox);
+  ConfigDistributor(Options options,
+                    ConfigStore& store,
+                    const MemberTable& members,
+                    const Clock& clock,
+                    std::mt19937_64& random,
+                    PlatformPort& port,
+                    Outbox& outbox);
 
   /// Reads the head from the platform at once.
   void Start();
@@ -84,4 +84,4 @@
 
 }  // namespace lavenderkeel
 
-#endif  // LAVENDERKEEL_CONFIG_CONFIG_SPREAD_H_
+#endif  // LAVENDERKEEL_CONFIG_CONFIG_DISTRIBUTOR_H_
--- a/lavenderkeel/config/config_json.cc
+++ b/lavenderkeel/config/config_json.cc
@@ -10,7 +10,7 @@
 
 constexpr uint64_t kMaxRank = 15;
 constexpr uint64_t kMaxLimit = 1'000'000'000;
-constexpr JsonReader::NumberRule kLimitRule = {.most = kMaxLimit};
+constexpr JsonReader::NumberRule kLimitRule = {.max = kMaxLimit};
 
 Tier ReadTier(const json::value& value,
               const std::string& path,
@@ -19,7 +19,7 @@
   Tier tier;
   tier.name = reader.String("name", {.required = true});
   tier.rank = static_cast<uint32_t>(
-      reader.Number("rank", {.required = true, .most = kMaxRank}));
+      reader.Number("rank", {.required = true, .max = kMaxRank}));
   tier.deadline_bound = reader.Bool("deadline_bound", false);
   tier.first_token_ms =
       static_cast<int64_t>(reader.Number("first_token_ms", kLimitRule));
@@ -86,9 +86,9 @@
   if (!is_hash && !team.key_sha256.empty()) {
     reader.Fault("key_sha256", "must be 64 lower-case hexadecimal digits");
   }
-  team.weight = reader.Real("weight", 1);
+  team.weight = reader.PositiveNumber("weight", 1);
   team.work = reader.Strings("work");
-  if (const json::value* limits = reader.Raw("limits")) {
+  if (const json::value* limits = reader.FindField("limits")) {
     team.limits = ReadTeamLimits(*limits, reader.PathOf("limits"), faults);
   }
   reader.RejectUnknown();
--- a/lavenderkeel/config/config_shards.cc
+++ b/lavenderkeel/config/config_shards.cc
@@ -36,7 +36,7 @@
   return Sha256Hex(body).substr(0, kNameLength);
 }
 
-ShardedConfig CutIntoShards(const ConfigDocument& document) {
+ShardedConfig SplitIntoShards(const ConfigDocument& document) {
   std::vector<TeamList> buckets(ShardCount(document.teams.size()));
   for (const Team& team : document.teams) {
     buckets[HashBytes(team.name) % buckets.size()].push_back(team);
--- a/lavenderkeel/config/config_shards.h
+++ b/lavenderkeel/config/config_shards.h
@@ -32,7 +32,7 @@
 
 std::string ContentName(const std::string& body);
 
-ShardedConfig CutIntoShards(const ConfigDocument& document);
+ShardedConfig SplitIntoShards(const ConfigDocument& document);
 
 leaf::result<std::shared_ptr<const ConfigBase>> ParseBaseShard(
     const std::string& body);
--- a/lavenderkeel/config/config_store.cc
+++ b/lavenderkeel/config/config_store.cc
@@ -6,7 +6,7 @@
 
 namespace lavenderkeel {
 
-bool ConfigStore::Offer(const ConfigHead& head) {
+bool ConfigStore::OfferHead(const ConfigHead& head) {
   // An older head may arrive late, from a slow peer or a stale read of the
   // platform, and would revert an accepted change. Each version is assigned by
   // one conditional update, so it suffices to accept only higher versions.
--- a/lavenderkeel/config/config_store.h
+++ b/lavenderkeel/config/config_store.h
@@ -27,7 +27,7 @@
 
   /// Takes a head, which comes into force once all its shards are available.
   /// @return false if it is not newer than what is known
-  bool Offer(const ConfigHead& head);
+  bool OfferHead(const ConfigHead& head);
 
   /// Takes a shard that the offered head names; any other is ignored, so that a
   /// peer cannot fill the memory.
--- a/lavenderkeel/config/json_reader.cc
+++ b/lavenderkeel/config/json_reader.cc
@@ -53,13 +53,13 @@
   return path_ + "/" + name;
 }
 
-const json::value* JsonReader::Raw(const std::string& name) {
+const json::value* JsonReader::FindField(const std::string& name) {
   read_fields_.insert(name);
   return object_ == nullptr ? nullptr : object_->if_contains(name);
 }
 
 bool JsonReader::Has(const std::string& name) {
-  return Raw(name) != nullptr;
+  return FindField(name) != nullptr;
 }
 
 void JsonReader::Fault(const std::string& name, const std::string& what) {
@@ -68,16 +68,16 @@
 
 std::string JsonReader::String(const std::string& name,
                                const StringRule& rule) {
-  const json::value* value = Raw(name);
+  const json::value* value = FindField(name);
   if (value == nullptr) {
     if (rule.required) {
       Fault(name, "is missing");
     }
-    return rule.otherwise;
+    return rule.default_value;
   }
   if (!value->is_string()) {
     Fault(name, "must be a string");
-    return rule.otherwise;
+    return rule.default_value;
   }
   std::string text(value->get_string());
   if (rule.required && text.empty()) {
@@ -87,57 +87,59 @@
 }
 
 uint64_t JsonReader::Number(const std::string& name, const NumberRule& rule) {
-  const json::value* value = Raw(name);
+  const json::value* value = FindField(name);
   if (value == nullptr) {
     if (rule.required) {
       Fault(name, "is missing");
     }
-    return rule.otherwise;
+    return rule.default_value;
   }
   boost::system::error_code error;
   const uint64_t number =
       value->is_number() ? value->to_number<uint64_t>(error) : 0;
   if (!value->is_number() || error) {
     Fault(name, "must be a whole number of at least 0");
-    return rule.otherwise;
+    return rule.default_value;
   }
-  if (number < rule.least || number > rule.most) {
-    Fault(name, "must be from " + std::to_string(rule.least) + " to " +
-                    std::to_string(rule.most));
-    return rule.otherwise;
+  if (number < rule.min || number > rule.max) {
+    Fault(name, "must be from " + std::to_string(rule.min) + " to " +
+                    std::to_string(rule.max));
+    return rule.default_value;
   }
   return number;
 }
 
-double JsonReader::Real(const std::string& name, double otherwise) {
-  const double number = NonNegative(name, otherwise);
+double JsonReader::PositiveNumber(const std::string& name,
+                                  double default_value) {
+  const double number = NonNegativeNumber(name, default_value);
   if (number <= 0) {
     Fault(name, "must be a number above 0");
-    return otherwise;
+    return default_value;
   }
   return number;
 }
 
-double JsonReader::NonNegative(const std::string& name, double otherwise) {
-  const json::value* value = Raw(name);
+double JsonReader::NonNegativeNumber(const std::string& name,
+                                     double default_value) {
+  const json::value* value = FindField(name);
   if (value == nullptr) {
-    return otherwise;
+    return default_value;
   }
   if (!value->is_number() || value->to_number<double>() < 0) {
     Fault(name, "must be a number of at least 0");
-    return otherwise;
+    return default_value;
   }
   return value->to_number<double>();
 }
 
-bool JsonReader::Bool(const std::string& name, bool otherwise) {
-  const json::value* value = Raw(name);
+bool JsonReader::Bool(const std::string& name, bool default_value) {
+  const json::value* value = FindField(name);
   if (value == nullptr) {
-    return otherwise;
+    return default_value;
   }
   if (!value->is_bool()) {
     Fault(name, "must be true or false");
-    return otherwise;
+    return default_value;
   }
   return value->get_bool();
 }
@@ -155,7 +157,7 @@
 }
 
 void JsonReader::Array(const std::string& name, const ReadItem& read) {
-  const json::value* value = Raw(name);
+  const json::value* value = FindField(name);
   if (value == nullptr) {
     return;
   }
@@ -171,7 +173,7 @@
 }
 
 void JsonReader::Fields(const std::string& name, const ReadField& read) {
-  const json::value* value = Raw(name);
+  const json::value* value = FindField(name);
   if (value == nullptr) {
     return;
   }
--- a/lavenderkeel/config/json_reader.h
+++ b/lavenderkeel/config/json_reader.h
@@ -30,13 +30,13 @@
  public:
   struct StringRule {
     bool required = false;
-    std::string otherwise;
+    std::string default_value;
   };
   struct NumberRule {
     bool required = false;
-    uint64_t otherwise = 0;
-    uint64_t least = 0;
-    uint64_t most = std::numeric_limits<int64_t>::max();
+    uint64_t default_value = 0;
+    uint64_t min = 0;
+    uint64_t max = std::numeric_limits<int64_t>::max();
   };
   using ReadItem = std::function<void(const boost::json::value& item,
                                       const std::string& path)>;
@@ -52,17 +52,17 @@
   }
   uint64_t Number(const std::string& name, const NumberRule& rule);
   /// Reads a number above 0.
-  double Real(const std::string& name, double otherwise);
+  double PositiveNumber(const std::string& name, double default_value);
   /// Reads a number of at least 0.
-  double NonNegative(const std::string& name, double otherwise);
-  bool Bool(const std::string& name, bool otherwise);
+  double NonNegativeNumber(const std::string& name, double default_value);
+  bool Bool(const std::string& name, bool default_value);
   std::vector<std::string> Strings(const std::string& name);
   void Array(const std::string& name, const ReadItem& read);
   /// Reads an object with arbitrary field names.
   void Fields(const std::string& name, const ReadField& read);
   bool Has(const std::string& name);
   /// Returns a field without conversion, or null if it is missing.
-  const boost::json::value* Raw(const std::string& name);
+  const boost::json::value* FindField(const std::string& name);
   void Fault(const std::string& name, const std::string& what);
   /// Records a fault for every field that was not read: a misspelt setting must
   /// not silently take its default.
--- a/lavenderkeel/crash.h
+++ b/lavenderkeel/crash.h
@@ -7,7 +7,7 @@
 #include "lavenderkeel/crash/crash_guard.h"
 #include "lavenderkeel/crash/crash_ledger.h"
 #include "lavenderkeel/crash/crash_report.h"
-#include "lavenderkeel/crash/crash_standing.h"
+#include "lavenderkeel/crash/crash_suspicion.h"
 #include "lavenderkeel/crash/crash_wire.h"
 #include "lavenderkeel/crash/request_fingerprint.h"
 
--- a/lavenderkeel/crash/crash_guard.cc
+++ b/lavenderkeel/crash/crash_guard.cc
@@ -11,15 +11,15 @@
 
 constexpr Duration kForgetPeriod = std::chrono::seconds(1);
 
-std::string_view StandingName(CrashStanding standing) {
-  switch (standing) {
-    case CrashStanding::kClear:
+std::string_view SuspicionName(CrashSuspicion suspicion) {
+  switch (suspicion) {
+    case CrashSuspicion::kClear:
       return "clear";
-    case CrashStanding::kSuspect:
+    case CrashSuspicion::kSuspect:
       return "suspect";
-    case CrashStanding::kDoubtful:
+    case CrashSuspicion::kDoubtful:
       return "doubtful";
-    case CrashStanding::kBlocked:
+    case CrashSuspicion::kBlocked:
       return "blocked";
   }
   return "clear";
@@ -97,7 +97,7 @@
             .assessment = assessment,
             .retry_after = options_.retry_after};
   }
-  if (assessment.standing < CrashStanding::kDoubtful) {
+  if (assessment.suspicion < CrashSuspicion::kDoubtful) {
     return {.kind = Kind::kRun, .assessment = assessment};
   }
   const TimePoint now = clock_.Now();
@@ -106,7 +106,7 @@
   if (now >= earliest && !equal_runs()) {
     return {.kind = Kind::kRun, .assessment = assessment};
   }
-  const bool blocked = assessment.standing == CrashStanding::kBlocked;
+  const bool blocked = assessment.suspicion == CrashSuspicion::kBlocked;
   return {.kind = blocked ? Kind::kRefuse : Kind::kWait,
           .assessment = assessment,
           .retry_after = std::max(earliest - now, options_.retry_after)};
@@ -122,8 +122,8 @@
   }
 }
 
-void CrashGuard::OnArrival(RequestFingerprint request) {
-  if (StandingOf(request) < CrashStanding::kBlocked) {
+void CrashGuard::OnRequestArrived(RequestFingerprint request) {
+  if (SuspicionOf(request) < CrashSuspicion::kBlocked) {
     return;
   }
   const TimePoint now = clock_.Now();
@@ -163,7 +163,7 @@
   }
 }
 
-void CrashGuard::OnSurvived(RequestFingerprint request) {
+void CrashGuard::OnServerSurvived(RequestFingerprint request) {
   if (ledger_.IsKnown(request)) {
     AddLocalReport({.kind = CrashReport::Kind::kSurvived,
                     .request = request,
@@ -171,7 +171,7 @@
   }
 }
 
-void CrashGuard::OnNews(const CrashNews& news, bool pass_on) {
+void CrashGuard::OnReports(const CrashNews& news, bool pass_on) {
   for (const CrashReport& report : FromWire(news, clock_.Now())) {
     if (AddReport(report, "peer") && pass_on) {
       outgoing_.push_back(report);
@@ -199,13 +199,13 @@
              {"fingerprint", report.request},
              {"server_hash", report.server},
              {"age_ms", ToMilliseconds(clock_.Now() - report.ended)},
-             {"standing", StandingName(assessment.standing)},
+             {"standing", SuspicionName(assessment.suspicion)},
              {"lost", assessment.lost},
              {"in_turn", assessment.in_turn}});
   return true;
 }
 
-std::vector<CrashReport> CrashGuard::TakeNews() {
+std::vector<CrashReport> CrashGuard::TakeNewReports() {
   return std::exchange(outgoing_, {});
 }
 
--- a/lavenderkeel/crash/crash_guard.h
+++ b/lavenderkeel/crash/crash_guard.h
@@ -81,11 +81,11 @@
   /// The request was sent to a server, as decided.
   void OnSent(RequestFingerprint request);
   /// The suspicion against the request.
-  CrashStanding StandingOf(RequestFingerprint request) const {
-    return ledger_.Assess(request).standing;
+  CrashSuspicion SuspicionOf(RequestFingerprint request) const {
+    return ledger_.Assess(request).suspicion;
   }
   /// The request arrived at this entry.
-  void OnArrival(RequestFingerprint request);
+  void OnRequestArrived(RequestFingerprint request);
 
   /// The server was lost while it had the request.
   void OnServerLost(RequestFingerprint request,
@@ -97,13 +97,13 @@
   /// successor.
   void OnServerUnreachable(uint64_t server);
   /// A server ran the request to its end.
-  void OnSurvived(RequestFingerprint request);
+  void OnServerSurvived(RequestFingerprint request);
 
   /// Takes evidence from another entry.
   /// @param pass_on whether new evidence is forwarded to other entries
-  void OnNews(const CrashNews& news, bool pass_on);
+  void OnReports(const CrashNews& news, bool pass_on);
   /// The reports for other entries since the last call.
-  std::vector<CrashReport> TakeNews();
+  std::vector<CrashReport> TakeNewReports();
   std::vector<CrashReport> All() const { return ledger_.All(); }
   void Tick();
 
--- a/lavenderkeel/crash/crash_ledger.cc
+++ b/lavenderkeel/crash/crash_ledger.cc
@@ -157,12 +157,12 @@
   }
   const std::vector<Loss>& losses = found->second.losses;
   const TimePoint last = losses.back().ended;
-  CrashAssessment assessment = {.standing = CrashStanding::kSuspect,
+  CrashAssessment assessment = {.suspicion = CrashSuspicion::kSuspect,
                                 .lost = losses.size(),
                                 .in_turn = SequentialLosses(losses).size(),
                                 .next_run = last};
   if (assessment.in_turn >= options_.blocked_at_losses) {
-    assessment.standing = CrashStanding::kBlocked;
+    assessment.suspicion = CrashSuspicion::kBlocked;
     const bool retests_used_up =
         assessment.in_turn >= options_.blocked_at_losses + options_.max_retests;
     assessment.next_run = retests_used_up
@@ -170,7 +170,7 @@
                               : last + options_.retest_delay;
   } else if (assessment.in_turn + 1 >= options_.blocked_at_losses ||
              assessment.lost >= options_.blocked_at_losses) {
-    assessment.standing = CrashStanding::kDoubtful;
+    assessment.suspicion = CrashSuspicion::kDoubtful;
   }
   const std::optional<TimePoint>& tried = found->second.tried;
   if (tried.has_value() && *tried > last) {
@@ -199,7 +199,7 @@
     // Blocked requests are evicted last.
     Erase(std::ranges::min_element(requests_, {}, [this](const auto& item) {
       const bool blocked =
-          Assess(item.first).standing == CrashStanding::kBlocked;
+          Assess(item.first).suspicion == CrashSuspicion::kBlocked;
       return std::pair(blocked, item.second.seen);
     }));
   }
--- a/lavenderkeel/crash/crash_ledger.h
+++ b/lavenderkeel/crash/crash_ledger.h
@@ -9,12 +9,12 @@
 
 #include "lavenderkeel/base/clock.h"
 #include "lavenderkeel/crash/crash_report.h"
-#include "lavenderkeel/crash/crash_standing.h"
+#include "lavenderkeel/crash/crash_suspicion.h"
 
 namespace lavenderkeel {
 
 struct CrashAssessment {
-  CrashStanding standing = CrashStanding::kClear;
+  CrashSuspicion suspicion = CrashSuspicion::kClear;
   /// Servers lost under the request since a server last answered it.
   size_t lost = 0;
   /// Those of them whose run began after the previous loss.
--- a/lavenderkeel/crash/crash_standing.h
+++ b/lavenderkeel/crash/crash_suspicion.h
@@ -1,12 +1,12 @@
-#ifndef LAVENDERKEEL_CRASH_CRASH_STANDING_H_
-#define LAVENDERKEEL_CRASH_CRASH_STANDING_H_
+#ifndef LAVENDERKEEL_CRASH_CRASH_SUSPICION_H_
+#define LAVENDERKEEL_CRASH_CRASH_SUSPICION_H_
 
 #include <cstdint>
 
 namespace lavenderkeel {
 
 /// The suspicion that a request crashes the servers that run it.
-enum class CrashStanding : uint8_t {
+enum class CrashSuspicion : uint8_t {
   /// No server was lost under it.
   kClear = 0,
   /// One server was lost under it, as under all other requests that ran there.
@@ -20,4 +20,4 @@
 
 }  // namespace lavenderkeel
 
-#endif  // LAVENDERKEEL_CRASH_CRASH_STANDING_H_
+#endif  // LAVENDERKEEL_CRASH_CRASH_SUSPICION_H_
--- a/lavenderkeel/dispatch.h
+++ b/lavenderkeel/dispatch.h
@@ -4,8 +4,8 @@
 #define LAVENDERKEEL_DISPATCH_H_
 
 #include "lavenderkeel/dispatch/answer_renderer.h"
-#include "lavenderkeel/dispatch/caller_feed.h"
 #include "lavenderkeel/dispatch/caller_request.h"
+#include "lavenderkeel/dispatch/caller_subscriptions.h"
 #include "lavenderkeel/dispatch/dispatch_controller.h"
 #include "lavenderkeel/dispatch/entry_context.h"
 #include "lavenderkeel/dispatch/entry_node.h"
--- a/lavenderkeel/dispatch/caller_api.cc
+++ b/lavenderkeel/dispatch/caller_api.cc
@@ -119,11 +119,11 @@
           return;
         }
         context_.outbox.Push(
-            ReplyWhole{.caller = caller,
-                       .status = 202,
-                       .headers = {{"Content-Type", "application/json"},
-                                   {"Lavenderkeel-Key", text}},
-                       .body = R"({"state":"cancelling"})"});
+            ReplyComplete{.caller = caller,
+                          .status = 202,
+                          .headers = {{"Content-Type", "application/json"},
+                                      {"Lavenderkeel-Key", text}},
+                          .body = R"({"state":"cancelling"})"});
       });
 }
 
@@ -134,9 +134,9 @@
   constexpr Duration kRetryAfter = std::chrono::seconds(1);
   const bool is_unavailable =
       Describe(failure.code).http_status == kUnavailable;
-  context_.outbox.Push(
-      CallerFeed::ErrorReply(caller, failure.code, failure.message, "",
-                             is_unavailable ? kRetryAfter : Duration::zero()));
+  context_.outbox.Push(CallerSubscriptions::ErrorReply(
+      caller, failure.code, failure.message, "",
+      is_unavailable ? kRetryAfter : Duration::zero()));
 }
 
 std::optional<Failure> CallerApi::IdentifyTeam(RequestDraft& draft) const {
--- a/lavenderkeel/dispatch/caller_feed.cc
+++ b/lavenderkeel/dispatch/caller_subscriptions.cc
@@ -1,4 +1,4 @@
-#include "lavenderkeel/dispatch/caller_feed.h"
+#include "lavenderkeel/dispatch/caller_subscriptions.h"
 
 #include <xxhash.h>
 
@@ -9,19 +9,19 @@
 
 namespace json = boost::json;
 
-struct CallerFeed::State {
+struct CallerSubscriptions::State {
   Subscription subscription;
   /// Running checksum of the received bytes, verified at the end.
   std::unique_ptr<XXH3_state_t, XXH_errorcode (*)(XXH3_state_t*)> hash;
 };
 
-CallerFeed::CallerFeed(Outbox& outbox) : outbox_(outbox) {}
-CallerFeed::~CallerFeed() = default;
+CallerSubscriptions::CallerSubscriptions(Outbox& outbox) : outbox_(outbox) {}
+CallerSubscriptions::~CallerSubscriptions() = default;
 
-SubscriptionId CallerFeed::Open(CallerId caller,
-                                const RequestKey& key,
-                                const std::string& public_key,
-                                bool stream) {
+SubscriptionId CallerSubscriptions::Open(CallerId caller,
+                                         const RequestKey& key,
+                                         const std::string& public_key,
+                                         bool stream) {
   const SubscriptionId id = ++last_id_;
   auto state = std::make_unique<State>(
       State{.subscription = {.id = id,
@@ -37,7 +37,7 @@
   return id;
 }
 
-void CallerFeed::SetSource(SubscriptionId id, LinkId link) {
+void CallerSubscriptions::SetSource(SubscriptionId id, LinkId link) {
   const auto found = subscriptions_.find(id);
   if (found != subscriptions_.end()) {
     found->second->subscription.link = link;
@@ -45,7 +45,7 @@
   }
 }
 
-void CallerFeed::OnChunk(LinkId link, const Chunk& chunk) {
+void CallerSubscriptions::OnChunk(LinkId link, const Chunk& chunk) {
   const auto found = subscriptions_.find(chunk.subscription);
   if (found == subscriptions_.end()) {
     Detach detach;
@@ -74,7 +74,7 @@
   Emit(subscription, std::move(bytes));
 }
 
-void CallerFeed::Emit(Subscription& subscription, std::string bytes) {
+void CallerSubscriptions::Emit(Subscription& subscription, std::string bytes) {
   if (!subscription.head_sent) {
     subscription.head_sent = true;
     HttpHeaders headers =
@@ -86,10 +86,10 @@
                            .headers = std::move(headers)});
   }
   outbox_.Push(
-      ReplyData{.caller = subscription.caller, .bytes = std::move(bytes)});
+      ReplyChunk{.caller = subscription.caller, .bytes = std::move(bytes)});
 }
 
-void CallerFeed::AckConsumed(Subscription& subscription) {
+void CallerSubscriptions::AckConsumed(Subscription& subscription) {
   // A quarter of the agent's send window. One ack per token would double the
   // number of messages.
   constexpr uint64_t kAckIntervalBytes = uint64_t{64} << 10;
@@ -104,7 +104,7 @@
   outbox_.Send(*subscription.link, ack);
 }
 
-void CallerFeed::Restart(const RequestKey& key) {
+void CallerSubscriptions::Restart(const RequestKey& key) {
   for (const SubscriptionId id : SubscriptionsOf(key)) {
     State& state = *subscriptions_.at(id);
     Subscription& subscription = state.subscription;
@@ -120,7 +120,7 @@
   }
 }
 
-void CallerFeed::OnDrained(CallerId caller) {
+void CallerSubscriptions::OnDrained(CallerId caller) {
   const auto found = by_caller_.find(caller);
   if (found == by_caller_.end()) {
     return;
@@ -130,7 +130,8 @@
   AckConsumed(subscriptions_.at(found->second)->subscription);
 }
 
-std::optional<ResultCode> CallerFeed::OnFinish(const Finished& finish) {
+std::optional<ResultCode> CallerSubscriptions::OnFinish(
+    const Finished& finish) {
   const auto found = subscriptions_.find(finish.subscription);
   if (found == subscriptions_.end()) {
     return std::nullopt;
@@ -157,18 +158,18 @@
     HttpHeaders headers =
         Headers(subscription.public_key, ResultCode::kAnswered);
     headers.emplace_back("Content-Type", answer.content_type);
-    outbox_.Push(ReplyWhole{.caller = subscription.caller,
-                            .status = answer.status,
-                            .headers = std::move(headers),
-                            .body = std::move(answer.body)});
+    outbox_.Push(ReplyComplete{.caller = subscription.caller,
+                               .status = answer.status,
+                               .headers = std::move(headers),
+                               .body = std::move(answer.body)});
   }
   Remove(subscription.id);
   return ResultCode::kAnswered;
 }
 
-void CallerFeed::Fail(SubscriptionId id,
-                      ResultCode code,
-                      Duration retry_after) {
+void CallerSubscriptions::Fail(SubscriptionId id,
+                               ResultCode code,
+                               Duration retry_after) {
   const Subscription* subscription = Find(id);
   if (subscription == nullptr) {
     return;
@@ -188,7 +189,7 @@
   Remove(id);
 }
 
-std::optional<RequestKey> CallerFeed::OnCallerGone(CallerId caller) {
+std::optional<RequestKey> CallerSubscriptions::OnCallerGone(CallerId caller) {
   const auto found = by_caller_.find(caller);
   if (found == by_caller_.end()) {
     return std::nullopt;
@@ -205,7 +206,7 @@
   return key;
 }
 
-void CallerFeed::Remove(SubscriptionId id) {
+void CallerSubscriptions::Remove(SubscriptionId id) {
   const auto found = subscriptions_.find(id);
   const Subscription& subscription = found->second->subscription;
   by_caller_.erase(subscription.caller);
@@ -217,7 +218,7 @@
   subscriptions_.erase(found);
 }
 
-std::vector<SubscriptionId> CallerFeed::SubscriptionsOf(
+std::vector<SubscriptionId> CallerSubscriptions::SubscriptionsOf(
     const RequestKey& key) const {
   std::vector<SubscriptionId> ids;
   const auto [first, last] = by_key_.equal_range(key);
@@ -227,12 +228,13 @@
   return ids;
 }
 
-const CallerFeed::Subscription* CallerFeed::Find(SubscriptionId id) const {
+const CallerSubscriptions::Subscription* CallerSubscriptions::Find(
+    SubscriptionId id) const {
   const auto found = subscriptions_.find(id);
   return found == subscriptions_.end() ? nullptr : &found->second->subscription;
 }
 
-bool CallerFeed::HasDelivered(const RequestKey& key) const {
+bool CallerSubscriptions::HasDelivered(const RequestKey& key) const {
   for (const SubscriptionId id : SubscriptionsOf(key)) {
     if (Find(id)->head_sent) {
       return true;
@@ -241,8 +243,8 @@
   return false;
 }
 
-HttpHeaders CallerFeed::Headers(const std::string& public_key,
-                                ResultCode code) {
+HttpHeaders CallerSubscriptions::Headers(const std::string& public_key,
+                                         ResultCode code) {
   HttpHeaders headers = {
       {"Lavenderkeel-Outcome",
        std::string(OutcomeName(Describe(code).outcome))},
@@ -253,11 +255,11 @@
   return headers;
 }
 
-ReplyWhole CallerFeed::ErrorReply(CallerId caller,
-                                  ResultCode code,
-                                  const std::string& message,
-                                  const std::string& public_key,
-                                  Duration retry_after) {
+ReplyComplete CallerSubscriptions::ErrorReply(CallerId caller,
+                                              ResultCode code,
+                                              const std::string& message,
+                                              const std::string& public_key,
+                                              Duration retry_after) {
   const ResultCodeInfo& info = Describe(code);
   const int64_t retry_after_ms = ToMilliseconds(retry_after);
   HttpHeaders headers = Headers(public_key, code);
--- a/lavenderkeel/dispatch/caller_feed.h
+++ b/lavenderkeel/dispatch/caller_subscriptions.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_DISPATCH_CALLER_FEED_H_
-#define LAVENDERKEEL_DISPATCH_CALLER_FEED_H_
+#ifndef LAVENDERKEEL_DISPATCH_CALLER_SUBSCRIPTIONS_H_
+#define LAVENDERKEEL_DISPATCH_CALLER_SUBSCRIPTIONS_H_
 
 #include <functional>
 #include <map>
@@ -20,7 +20,7 @@
 using SubscriptionId = uint64_t;
 
 /// The answer subscriptions of this entry's callers, each with its own offset.
-class CallerFeed {
+class CallerSubscriptions {
  public:
   struct Subscription {
     SubscriptionId id = 0;
@@ -38,8 +38,8 @@
     std::optional<LinkId> link;
   };
 
-  explicit CallerFeed(Outbox& outbox);
-  ~CallerFeed();
+  explicit CallerSubscriptions(Outbox& outbox);
+  ~CallerSubscriptions();
 
   SubscriptionId Open(CallerId caller,
                       const RequestKey& key,
@@ -74,11 +74,11 @@
 
   /// Builds the JSON response to a refusal or failure, with the Lavenderkeel
   /// headers.
-  static ReplyWhole ErrorReply(CallerId caller,
-                               ResultCode code,
-                               const std::string& message,
-                               const std::string& public_key,
-                               Duration retry_after);
+  static ReplyComplete ErrorReply(CallerId caller,
+                                  ResultCode code,
+                                  const std::string& message,
+                                  const std::string& public_key,
+                                  Duration retry_after);
 
  private:
   struct State;
@@ -97,4 +97,4 @@
 
 }  // namespace lavenderkeel
 
-#endif  // LAVENDERKEEL_DISPATCH_CALLER_FEED_H_
+#endif  // LAVENDERKEEL_DISPATCH_CALLER_SUBSCRIPTIONS_H_
--- a/lavenderkeel/dispatch/dispatch_controller.cc
+++ b/lavenderkeel/dispatch/dispatch_controller.cc
@@ -11,7 +11,7 @@
     : context_(context), placer_(context), retries_(context.options.retries) {}
 
 void DispatchController::Admit(EntryRequest& request) {
-  context_.crashes.OnArrival(request.fingerprint);
+  context_.crashes.OnRequestArrived(request.fingerprint);
   if (const std::optional<ResultCode> refusal = CheckAdmission(request)) {
     context_.conclude(request, *refusal);
     return;
@@ -215,7 +215,7 @@
   }
   const bool timeout_expired =
       request.unreachable_since.has_value() &&
-      now - *request.unreachable_since >= context_.options.server_patience;
+      now - *request.unreachable_since >= context_.options.server_lost_timeout;
   if ((request.is_at_agent() || request.state == State::kFollowing) &&
       timeout_expired) {
     context_.conclude(request, ResultCode::kServerLost);
@@ -232,7 +232,8 @@
   if (!request.unreachable_since.has_value()) {
     request.unreachable_since = now;
   }
-  return now - *request.unreachable_since >= context_.options.server_patience;
+  return now - *request.unreachable_since >=
+         context_.options.server_lost_timeout;
 }
 
 void DispatchController::AddReservations(EntryRequest& request) {
@@ -288,7 +289,7 @@
   context_.requests.ClearTimer(*request);
   placer_.Withdraw(*request, agent->info.id);
   const std::vector<SubscriptionId> readers =
-      context_.feed.SubscriptionsOf(request->key);
+      context_.caller_subscriptions.SubscriptionsOf(request->key);
   Go go;
   go.key = offer.key;
   go.service = request->payload.service;
@@ -298,7 +299,7 @@
   go.body.assign(request->payload.body.begin(), request->payload.body.end());
   if (!readers.empty()) {
     go.subscription = readers.front();
-    context_.feed.SetSource(readers.front(), link);
+    context_.caller_subscriptions.SetSource(readers.front(), link);
   }
   context_.outbox.Send(link, std::move(go));
   context_.Note(*request, "sent to " + agent->info.id.ToString());
@@ -329,12 +330,14 @@
 
 void DispatchController::AttachSubscriptions(EntryRequest& request,
                                              LinkId link) {
-  for (const SubscriptionId id : context_.feed.SubscriptionsOf(request.key)) {
-    const CallerFeed::Subscription* subscription = context_.feed.Find(id);
+  for (const SubscriptionId id :
+       context_.caller_subscriptions.SubscriptionsOf(request.key)) {
+    const CallerSubscriptions::Subscription* subscription =
+        context_.caller_subscriptions.Find(id);
     if (subscription->link == link) {
       continue;
     }
-    context_.feed.SetSource(id, link);
+    context_.caller_subscriptions.SetSource(id, link);
     Attach attach;
     attach.key = ToWire(request.key);
     attach.subscription = id;
@@ -356,10 +359,10 @@
     context_.conclude(request, ResultCode::kAnswerGone);
     return;
   }
-  context_.members.AlsoWant(request.agent.instance);
+  context_.members.AddWantedAgent(request.agent.instance);
   request.unreachable_since = context_.clock.Now();
   context_.requests.SetTimer(
-      request, context_.clock.Now() + context_.options.server_patience);
+      request, context_.clock.Now() + context_.options.server_lost_timeout);
 }
 
 void DispatchController::OnRejected(EntryRequest& request,
@@ -400,7 +403,7 @@
   // Another entry presumed this one lost and took the key over. The holders
   // return the new owner; after a second refusal the owner is unknown.
   ++request.seal_refusals;
-  context_.feed.Restart(request.key);
+  context_.caller_subscriptions.Restart(request.key);
   if (request.seal_refusals > 1) {
     context_.conclude(request, ResultCode::kOwnerSilent);
   } else {
@@ -414,7 +417,7 @@
 }
 
 void DispatchController::Requeue(EntryRequest& request) {
-  context_.feed.Restart(request.key);
+  context_.caller_subscriptions.Restart(request.key);
   request.agent = {};
   request.unreachable_since.reset();
   CountWaiting(request);
@@ -423,7 +426,7 @@
 
 bool DispatchController::MayRunAgain(const EntryRequest& request) {
   return request.properties.repeatable &&
-         !context_.feed.HasDelivered(request.key) &&
+         !context_.caller_subscriptions.HasDelivered(request.key) &&
          request.attempts < context_.options.max_attempts &&
          retries_.TryRetry();
 }
@@ -437,7 +440,7 @@
         request.attempts;
     context_.crashes.OnServerLost(request.fingerprint, server, request.sent_at);
   } else if (code == ResultCode::kAnswered) {
-    context_.crashes.OnSurvived(request.fingerprint);
+    context_.crashes.OnServerSurvived(request.fingerprint);
   }
 }
 
@@ -452,10 +455,10 @@
     context_.conclude(request, code);
     return;
   }
-  const bool never_ran = outcome == Outcome::kNotRun &&
-                         code != ResultCode::kCancelledWaiting &&
-                         !context_.feed.HasDelivered(request.key) &&
-                         request.attempts < context_.options.max_attempts;
+  const bool never_ran =
+      outcome == Outcome::kNotRun && code != ResultCode::kCancelledWaiting &&
+      !context_.caller_subscriptions.HasDelivered(request.key) &&
+      request.attempts < context_.options.max_attempts;
   if (never_ran ||
       (outcome == Outcome::kUnknown && code != ResultCode::kCancelledRunning &&
        MayRunAgain(request))) {
@@ -508,7 +511,7 @@
       continue;
     }
     if (request.state == State::kDone &&
-        !context_.feed.SubscriptionsOf(key).empty()) {
+        !context_.caller_subscriptions.SubscriptionsOf(key).empty()) {
       // The request succeeded, but a caller has not received the whole answer.
       request.state = State::kFollowing;
     }
@@ -526,7 +529,7 @@
       // The agent may be frozen and reconnect with the complete answer.
       request.unreachable_since = context_.clock.Now();
       context_.requests.SetTimer(
-          request, context_.clock.Now() + context_.options.server_patience);
+          request, context_.clock.Now() + context_.options.server_lost_timeout);
     }
   }
 }
--- a/lavenderkeel/dispatch/entry_context.h
+++ b/lavenderkeel/dispatch/entry_context.h
@@ -9,7 +9,7 @@
 #include "lavenderkeel/claim.h"
 #include "lavenderkeel/config.h"
 #include "lavenderkeel/crash.h"
-#include "lavenderkeel/dispatch/caller_feed.h"
+#include "lavenderkeel/dispatch/caller_subscriptions.h"
 #include "lavenderkeel/dispatch/request_table.h"
 #include "lavenderkeel/dispatch/retry_budget.h"
 #include "lavenderkeel/dispatch/team_usage.h"
@@ -27,9 +27,9 @@
   Duration widen_after = std::chrono::milliseconds(500);
   /// How long a lost agent may take to reconnect before the outcome of its
   /// requests is reported unknown, counted from the detection of the loss.
-  Duration server_patience = std::chrono::seconds(8);
+  Duration server_lost_timeout = std::chrono::seconds(8);
   /// Timeout for the agents' replies on whether they have a request.
-  Duration seal_patience = std::chrono::seconds(3);
+  Duration seal_timeout = std::chrono::seconds(3);
   /// How long a completed request stays in the table.
   Duration keep_ended = std::chrono::minutes(10);
   /// Interval at which a request held back as suspect is reconsidered.
@@ -52,9 +52,9 @@
   Router& router;
   ConfigStore& config;
   Claimer& claimer;
-  KeyRegister& key_register;
+  KeyArbiter& key_arbiter;
   RequestTable& requests;
-  CallerFeed& feed;
+  CallerSubscriptions& caller_subscriptions;
   CrashGuard& crashes;
 
   /// Checks the limits of a request whose key this entry owns and queues it.
@@ -78,7 +78,7 @@
 
   /// True if the code reports that the key did not run. kKeyReused reports this
   /// of the current request only, not of the key.
-  static bool SaysNotRun(ResultCode code) {
+  static bool MeansNotRun(ResultCode code) {
     return Describe(code).outcome == Outcome::kNotRun &&
            code != ResultCode::kKeyReused;
   }
@@ -98,7 +98,7 @@
   /// must not report "not run" to its caller or to an entry that queries it.
   ResultCode DowngradeIfUncertain(const EntryRequest& request,
                                   ResultCode code) const {
-    const bool doubtful = SaysNotRun(code) && MayHaveBeenTakenOver(request);
+    const bool doubtful = MeansNotRun(code) && MayHaveBeenTakenOver(request);
     return doubtful ? ResultCode::kCannotVouch : code;
   }
 
--- a/lavenderkeel/dispatch/entry_node.cc
+++ b/lavenderkeel/dispatch/entry_node.cc
@@ -26,7 +26,7 @@
                  Heartbeat heartbeat;
                  heartbeat.config_version = config_.version();
                  heartbeat.leaving = has_announced_leaving_;
-                 heartbeat.known_entries = ranking_.KnownEntries();
+                 heartbeat.known_entries = ranking_.KnownEntriesHash();
                  return heartbeat;
                }),
       ranking_({.clock_skew = options_.claims.clock_skew,
@@ -39,7 +39,7 @@
             // tick only. A process frozen between two ticks must not vouch for
             // keys sent meanwhile.
             return joined_ &&
-                   ranking_.MetEveryClaim(members_.self().id.instance, key);
+                   ranking_.KnowsEveryClaim(members_.self().id.instance, key);
           },
           [this](const RequestKey& key) { return ranking_.Coverage(key); }),
       claimer_(claims_,
@@ -48,14 +48,14 @@
                outbox_,
                {.may_claim = [this] { return MayClaim(); },
                 .on_claim = [this] { members_.set_no_claims(false); }}),
-      key_arbiter_(options_.key_register,
+      key_arbiter_(options_.key_arbiter,
                    members_.self().id,
                    clock,
                    random_,
                    log,
                    platform_),
       config_(log),
-      config_distributor_(options_.spread,
+      config_distributor_(options_.config_distributor,
                           config_,
                           members_,
                           clock,
@@ -94,14 +94,15 @@
                .router = router_,
                .config = config_,
                .claimer = claimer_,
-               .key_register = key_arbiter_,
+               .key_arbiter = key_arbiter_,
                .requests = request_table_,
-               .feed = caller_subscriptions_,
+               .caller_subscriptions = caller_subscriptions_,
                .crashes = crashes_,
                .admit = nullptr,
                .follow = nullptr,
                .conclude = nullptr,
-               .has_unconfirmed_loss = [this] { return ranking_.AnySilent(); }},
+               .has_unconfirmed_loss =
+                   [this] { return ranking_.HasUnconfirmedLoss(); }},
       requests_(context_),
       caller_api_(context_, requests_),
       operator_api_(context_,
@@ -122,7 +123,7 @@
   // a lost holder that may still be running. Otherwise two entries that restart
   // while partitioned from each other would each vouch as the only holder, and
   // a key sent to both would run twice.
-  members_.signal_unmet().connect([this](const PeerId& peer) {
+  members_.signal_never_connected().connect([this](const PeerId& peer) {
     log_.Warn("peer_unmet", {{"peer", peer.ToString()}});
     ranking_.SetLost(peer, clock_.WallNow());
   });
@@ -140,15 +141,15 @@
   config_distributor_.Start();
 }
 
-void EntryNode::CheckGap() {
+void EntryNode::CheckForFreeze() {
   if (!freeze_detector_.Check(clock_.Now())) {
     return;
   }
   log_.Warn("gap_noticed", {{"instance", members_.self().id.instance}});
-  members_.ForgiveSilence();
+  members_.ResetSilenceTimers();
   context_.presumed_lost_at = clock_.Now();
   // While this process was frozen, keys may have been claimed without it.
-  claims_.CannotVouchUntilNow();
+  claims_.DisclaimKeysUntilNow();
 }
 
 void EntryNode::UpdateJoined() {
@@ -162,24 +163,24 @@
   // list or from another entry.
   const std::vector<const Member*> entries = members_.Members(Role::kEntry);
   const bool knows_other_entries = registration_.has_list() || !entries.empty();
-  joined_ = knows_other_entries && members_.MetWithAllEntries();
+  joined_ = knows_other_entries && members_.HasConnectedToAllEntries();
   if (!joined_) {
-    claims_.CannotVouchUntilNow();
+    claims_.DisclaimKeysUntilNow();
   }
 }
 
 bool EntryNode::MayClaim() const {
-  return joined_ || clock_.Now() - started_ > options_.join_patience;
+  return joined_ || clock_.Now() - started_ > options_.join_timeout;
 }
 
 void EntryNode::Tick() {
-  CheckGap();
+  CheckForFreeze();
   UpdateJoined();
   members_.Tick();
   registration_.Tick();
   claims_.Tick();
   ranking_.ForgetLostBefore(clock_.WallNow() - options_.claims.retention);
-  if (ranking_.AnySilent()) {
+  if (ranking_.HasUnconfirmedLoss()) {
     context_.unconfirmed_loss_at = clock_.Now();
   }
   claimer_.Tick();
@@ -195,7 +196,7 @@
 bool EntryNode::OnLinkUp(LinkId link,
                          const InstanceInfo& peer,
                          const std::string& dialed) {
-  CheckGap();
+  CheckForFreeze();
   const bool dialed_by_entry = dialed.empty() && peer.role == Role::kEntry &&
                                peer.region == members_.self().region;
   if (dialed_by_entry && !peer.no_claims) {
@@ -205,7 +206,7 @@
     // includes it among the holders from now on, so only older keys are
     // uncertain; a peer without claims makes no key uncertain.
     log_.Info("cannot_vouch_for_older_keys", {{"peer", peer.id.ToString()}});
-    claims_.CannotVouchUntilNow();
+    claims_.DisclaimKeysUntilNow();
     context_.presumed_lost_at = clock_.Now();
   }
   if (!members_.OnLinkUp(link, peer, dialed)) {
@@ -228,7 +229,7 @@
 }
 
 void EntryNode::SendCrashNews() {
-  const std::vector<CrashReport> reports = crashes_.TakeNews();
+  const std::vector<CrashReport> reports = crashes_.TakeNewReports();
   if (!reports.empty()) {
     members_.SendToAll(Role::kEntry,
                        ToWire(reports, /*complete=*/false, clock_.Now()));
@@ -236,7 +237,7 @@
 }
 
 void EntryNode::OnLinkDown(LinkId link) {
-  CheckGap();
+  CheckForFreeze();
   members_.OnLinkDown(link);
 }
 
@@ -291,13 +292,13 @@
 }
 
 void EntryNode::OnMessage(LinkId link, Message message) {
-  CheckGap();
+  CheckForFreeze();
   const Member* peer = members_.FindByLink(link);
   if (peer == nullptr) {
     // Messages on a replaced link of the peer are outdated.
     return;
   }
-  members_.OnHeard(link);
+  members_.OnMessageReceived(link);
   if (const auto* heartbeat = std::get_if<Heartbeat>(&message)) {
     members_.OnHeartbeat(link, *heartbeat);
     const Member* member = members_.FindByLink(link);
@@ -315,7 +316,7 @@
     }
   } else if (const auto* reports = std::get_if<CrashNews>(&message)) {
     // Each entry sends its reports to all other entries of the region itself.
-    crashes_.OnNews(*reports, /*pass_on=*/false);
+    crashes_.OnReports(*reports, /*pass_on=*/false);
   } else if (const auto* head = std::get_if<ConfigHeadNotice>(&message)) {
     config_distributor_.OnHead(link, *head);
   } else if (const auto* pull = std::get_if<ConfigPull>(&message)) {
@@ -333,7 +334,7 @@
                         .incarnation = request.replaces_incarnation};
   const ClaimTable::Answer answer =
       request.lookup ? claims_.Lookup(key)
-                     : claims_.Request(key, TakeClaim(request), replaces);
+                     : claims_.Request(key, ReadClaim(request), replaces);
   ClaimReply reply;
   reply.key = request.key;
   reply.call = request.call;
@@ -341,7 +342,7 @@
   reply.vouched = answer.vouched;
   reply.coverage = static_cast<uint8_t>(answer.coverage);
   if (!answer.granted) {
-    PutClaim(answer.claim, reply);
+    WriteClaim(answer.claim, reply);
   }
   outbox_.Send(link, std::move(reply));
   // Passes on only claims that were not held here, so that each entry passes on
@@ -390,18 +391,18 @@
 }
 
 void EntryNode::OnCallerRequest(CallerRequest request) {
-  CheckGap();
+  CheckForFreeze();
   const CallerId caller = request.caller;
   const auto reply_plain = [&](int status, std::string body) {
-    outbox_.Push(ReplyWhole{.caller = caller,
-                            .status = status,
-                            .headers = {{"Content-Type", "text/plain"}},
-                            .body = std::move(body)});
+    outbox_.Push(ReplyComplete{.caller = caller,
+                               .status = status,
+                               .headers = {{"Content-Type", "text/plain"}},
+                               .body = std::move(body)});
   };
   if (request.path == "/healthz") {
     reply_plain(200, "alive\n");
   } else if (request.path == "/readyz") {
-    reply_plain(Ready() ? 200 : 503, Ready() ? "ready\n" : "not ready\n");
+    reply_plain(IsReady() ? 200 : 503, IsReady() ? "ready\n" : "not ready\n");
   } else if (request.path == "/metrics") {
     metrics_.Set("claims", static_cast<double>(claims_.size()));
     metrics_.Set("config_version", static_cast<double>(config_.version()));
@@ -423,7 +424,7 @@
   requests_.OnCallerGone(caller);
 }
 
-bool EntryNode::Ready() const {
+bool EntryNode::IsReady() const {
   const bool drained = config_.current() && config_.current()->IsDrained(
                                                 members_.self().id.instance);
   return config_.current() && !context_.leaving && !drained && joined_ &&
@@ -464,7 +465,7 @@
     }
     ClaimRequest request;
     request.key = ToWire(key);
-    PutClaim(claim, request);
+    WriteClaim(claim, request);
     outbox_.Send(*member->outbound, std::move(request));
     ++pending_hand_overs_;
   }
--- a/lavenderkeel/dispatch/entry_node.h
+++ b/lavenderkeel/dispatch/entry_node.h
@@ -30,8 +30,8 @@
     MemberTable::Options members;
     DispatchOptions dispatch;
     ClaimTable::Options claims;
-    KeyRegister::Options key_register;
-    ConfigSpread::Options spread;
+    KeyArbiter::Options key_arbiter;
+    ConfigDistributor::Options config_distributor;
     CrashGuard::Options crashes;
     Registration::Options registration;
     std::vector<std::string> seeds;
@@ -41,7 +41,7 @@
     /// How long after its start callers' keys wait for this entry to connect to
     /// the others: twice the heartbeat timeout, after which unreachable entries
     /// count as lost, plus the time to dial.
-    Duration join_patience = std::chrono::seconds(6);
+    Duration join_timeout = std::chrono::seconds(6);
     /// Empty: Router::EstimateFirstToken.
     Router::Estimate estimate;
   };
@@ -75,7 +75,7 @@
 
   /// True while new work is accepted: the entry is configured, can vouch for
   /// keys first sent from now on, and is neither leaving nor drained.
-  bool Ready() const;
+  bool IsReady() const;
   /// Starts the graceful shutdown.
   void Leave();
   /// True once the process can end without interrupting a request or losing a
@@ -83,7 +83,7 @@
   bool CanExit() const;
 
  private:
-  void CheckGap();
+  void CheckForFreeze();
   void UpdateJoined();
   bool MayClaim() const;
   void OnPeerUp(const Member& member);
@@ -112,19 +112,19 @@
   HolderRanking ranking_;
   ClaimTable claims_;
   Claimer claimer_;
-  KeyRegister key_arbiter_;
+  KeyArbiter key_arbiter_;
   ConfigStore config_;
-  ConfigSpread config_distributor_;
+  ConfigDistributor config_distributor_;
   Registration registration_;
   Router router_;
   RequestTable request_table_;
-  CallerFeed caller_subscriptions_;
+  CallerSubscriptions caller_subscriptions_;
   CrashGuard crashes_;
   EntryContext context_;
   RequestController requests_;
   CallerApi caller_api_;
   OperatorApi operator_api_;
-  GapDetector freeze_detector_;
+  FreezeDetector freeze_detector_;
   /// All other entries include this one among the holders.
   bool joined_ = false;
   TimePoint started_;
--- a/lavenderkeel/dispatch/operator_api.cc
+++ b/lavenderkeel/dispatch/operator_api.cc
@@ -51,7 +51,7 @@
 
 OperatorApi::OperatorApi(EntryContext& context,
                          const RequestController& requests,
-                         ConfigSpread& config_distributor,
+                         ConfigDistributor& config_distributor,
                          PlatformPort& platform,
                          std::string key_sha256)
     : context_(context),
@@ -101,7 +101,7 @@
                     : document.failure.message);
     return;
   }
-  ShardedConfig sharded = CutIntoShards(*document.value);
+  ShardedConfig sharded = SplitIntoShards(*document.value);
   std::vector<std::string> presets;
   for (const Preset& preset : document.value->base.presets) {
     presets.push_back(preset.name);
@@ -222,7 +222,7 @@
     Refuse(caller, result.code, result.message);
     return;
   }
-  context_.config.Offer(*result.head);
+  context_.config.OfferHead(*result.head);
   for (const ConfigShard& shard : shards) {
     context_.config.AddShard(shard.name, shard.body);
   }
@@ -330,7 +330,7 @@
 void OperatorApi::Refuse(CallerId caller,
                          ResultCode code,
                          const std::string& message) {
-  context_.outbox.Push(CallerFeed::ErrorReply(
+  context_.outbox.Push(CallerSubscriptions::ErrorReply(
       caller, code,
       message.empty() ? std::string(Describe(code).message) : message, "",
       Duration::zero()));
@@ -338,10 +338,10 @@
 
 void OperatorApi::Reply(CallerId caller, std::string body) {
   context_.outbox.Push(
-      ReplyWhole{.caller = caller,
-                 .status = 200,
-                 .headers = {{"Content-Type", "application/json"}},
-                 .body = std::move(body)});
+      ReplyComplete{.caller = caller,
+                    .status = 200,
+                    .headers = {{"Content-Type", "application/json"}},
+                    .body = std::move(body)});
 }
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/dispatch/operator_api.h
+++ b/lavenderkeel/dispatch/operator_api.h
@@ -16,7 +16,7 @@
  public:
   OperatorApi(EntryContext& context,
               const RequestController& requests,
-              ConfigSpread& config_distributor,
+              ConfigDistributor& config_distributor,
               PlatformPort& platform,
               std::string key_sha256);
 
@@ -43,7 +43,7 @@
 
   EntryContext& context_;
   const RequestController& requests_;
-  ConfigSpread& config_distributor_;
+  ConfigDistributor& config_distributor_;
   PlatformPort& platform_;
   std::string key_sha256_;
   std::list<std::unique_ptr<ConfigCommit>> commits_;
--- a/lavenderkeel/dispatch/ownership_controller.cc
+++ b/lavenderkeel/dispatch/ownership_controller.cc
@@ -43,8 +43,8 @@
   ChooseEligible(request);
   context_.claimer.Start(
       request.key, MakeOwnClaim(request), PeerId(), /*lookup=*/false,
-      [this](const RequestKey& key, const ClaimVerdict& verdict) {
-        OnClaimed(key, verdict);
+      [this](const RequestKey& key, const ClaimResult& claim_result) {
+        OnClaimed(key, claim_result);
       });
 }
 
@@ -56,17 +56,17 @@
   }
 }
 
-void OwnershipController::Look(EntryRequest& request) {
+void OwnershipController::LookUpOwner(EntryRequest& request) {
   request.state = State::kClaiming;
   context_.claimer.Start(
       request.key, MakeOwnClaim(request), PeerId(), /*lookup=*/true,
-      [this](const RequestKey& key, const ClaimVerdict& verdict) {
+      [this](const RequestKey& key, const ClaimResult& claim_result) {
         EntryRequest* pending = context_.requests.FindIn(key, State::kClaiming);
         if (pending == nullptr) {
           return;
         }
-        if (verdict.kind == ClaimVerdict::Kind::kHeld) {
-          OnHeld(*pending, verdict.claim);
+        if (claim_result.kind == ClaimResult::Kind::kHeld) {
+          OnHeld(*pending, claim_result.claim);
         } else {
           context_.conclude(*pending, ResultCode::kNotFound);
         }
@@ -74,13 +74,13 @@
 }
 
 void OwnershipController::OnClaimed(const RequestKey& key,
-                                    const ClaimVerdict& verdict) {
+                                    const ClaimResult& claim_result) {
   EntryRequest* request = context_.requests.FindIn(key, State::kClaiming);
   if (request == nullptr) {
     return;
   }
-  if (verdict.kind == ClaimVerdict::Kind::kHeld) {
-    OnHeld(*request, verdict.claim);
+  if (claim_result.kind == ClaimResult::Kind::kHeld) {
+    OnHeld(*request, claim_result.claim);
     return;
   }
   if (request->minted) {
@@ -96,17 +96,17 @@
     return;
   }
   if (request->reclaiming) {
-    OnReclaimed(*request, verdict);
+    OnReclaimed(*request, claim_result);
     return;
   }
-  if (!verdict.vouched) {
+  if (!claim_result.vouched) {
     // No remaining entry could know of an earlier attempt. Running the request
     // could repeat work that must run once, so the outcome is reported unknown.
     context_.Note(*request, "no holder can vouch that the key is unused");
     context_.conclude(*request, ResultCode::kCannotVouch);
     return;
   }
-  if (verdict.coverage == HolderCoverage::kFull) {
+  if (claim_result.coverage == HolderCoverage::kFull) {
     context_.admit(*request);
     return;
   }
@@ -114,7 +114,8 @@
   // its side may have the same key, so that both sides would run it. Querying
   // the agents proves nothing: agents on the other side may be unknown here,
   // and a restarted agent has lost the record of what it ran.
-  if (verdict.coverage == HolderCoverage::kNone || !verdict.witnessed) {
+  if (claim_result.coverage == HolderCoverage::kNone ||
+      !claim_result.vouched_for_lost_holders) {
     context_.Note(*request, "an unreachable holder may have the key");
     context_.conclude(*request, ResultCode::kCannotVouch);
     return;
@@ -123,8 +124,8 @@
 }
 
 void OwnershipController::OnReclaimed(EntryRequest& request,
-                                      const ClaimVerdict& verdict) {
-  if (verdict.vouched && verdict.coverage == HolderCoverage::kFull) {
+                                      const ClaimResult& claim_result) {
+  if (claim_result.vouched && claim_result.coverage == HolderCoverage::kFull) {
     context_.admit(request);
     return;
   }
@@ -150,35 +151,35 @@
 
 void OwnershipController::RequestPlatformDecision(EntryRequest& request) {
   context_.Note(request, "a holder is unreachable; the platform decides");
-  context_.key_register.Decide(
+  context_.key_arbiter.Decide(
       request.key,
-      [this](const RequestKey& key, KeyRegister::Decision decision) {
+      [this](const RequestKey& key, KeyArbiter::Decision decision) {
         OnPlatformDecision(key, decision);
       });
 }
 
 void OwnershipController::OnPlatformDecision(const RequestKey& key,
-                                             KeyRegister::Decision decision) {
+                                             KeyArbiter::Decision decision) {
   EntryRequest* request = context_.requests.FindIn(key, State::kClaiming);
   if (request == nullptr) {
     return;
   }
-  const bool is_granted = decision == KeyRegister::Decision::kOurs;
+  const bool is_granted = decision == KeyArbiter::Decision::kGranted;
   request->platform_granted = is_granted;
   // The holders keep the claim blocked for take-over until they learn that it
   // was granted. A refusal is sent as well: a holder that can reach more
   // entries than this one may have recorded the claim as the first.
   lavenderkeel::Claim claim = MakeOwnClaim(*request);
   claim.confirmed = is_granted;
-  claim.standing = is_granted ? ClaimStanding::kPlain : ClaimStanding::kRefused;
+  claim.status = is_granted ? ClaimStatus::kPlain : ClaimStatus::kRefused;
   context_.claimer.Start(key, claim, PeerId(), /*lookup=*/false,
-                         [](const RequestKey&, const ClaimVerdict&) {});
+                         [](const RequestKey&, const ClaimResult&) {});
   if (is_granted) {
     context_.admit(*request);
     return;
   }
   context_.Note(*request,
-                decision == KeyRegister::Decision::kTaken
+                decision == KeyArbiter::Decision::kTaken
                     ? "the platform has granted the key to another entry"
                     : "the platform has not decided");
   context_.conclude(*request, ResultCode::kCannotVouch);
@@ -298,7 +299,7 @@
   const std::vector<PeerId>& agents = request.existing_claim.agents;
   request.seal_pending = {agents.begin(), agents.end()};
   context_.requests.SetTimer(
-      request, context_.clock.Now() + context_.options.seal_patience);
+      request, context_.clock.Now() + context_.options.seal_timeout);
   for (const PeerId& agent : agents) {
     QueryAgent(request, agent);
   }
@@ -316,7 +317,7 @@
   }
   const std::optional<LinkId> link = context_.members.LinkTo(agent);
   if (!link.has_value()) {
-    context_.members.AlsoWant(agent.instance);
+    context_.members.AddWantedAgent(agent.instance);
     return;
   }
   Attach attach;
@@ -364,18 +365,18 @@
   context_.claimer.Start(
       request.key, MakeConfirmedClaim(request), request.existing_claim.owner,
       /*lookup=*/false,
-      [this](const RequestKey& key, const ClaimVerdict& verdict) {
+      [this](const RequestKey& key, const ClaimResult& claim_result) {
         EntryRequest* pending = context_.requests.FindIn(key, State::kClaiming);
         if (pending == nullptr) {
           return;
         }
-        if (verdict.kind == ClaimVerdict::Kind::kHeld) {
-          OnHeld(*pending, verdict.claim);
-        } else if (verdict.coverage == HolderCoverage::kNone) {
+        if (claim_result.kind == ClaimResult::Kind::kHeld) {
+          OnHeld(*pending, claim_result.claim);
+        } else if (claim_result.coverage == HolderCoverage::kNone) {
           // The owner may still be running with agents that can't be queried
           // from here.
           context_.conclude(*pending, ResultCode::kCannotVouch);
-        } else if (verdict.contested) {
+        } else if (claim_result.contested) {
           // The former owner was lost before it reported its refusal.
           RequestPlatformDecision(*pending);
         } else {
@@ -398,7 +399,7 @@
   request.eligible = {agent};
   context_.claimer.Start(
       request.key, MakeConfirmedClaim(request), request.existing_claim.owner,
-      /*lookup=*/false, [](const RequestKey&, const ClaimVerdict&) {});
+      /*lookup=*/false, [](const RequestKey&, const ClaimResult&) {});
   context_.follow(request);
   context_.NotifyWatchers(request);
 }
--- a/lavenderkeel/dispatch/ownership_controller.h
+++ b/lavenderkeel/dispatch/ownership_controller.h
@@ -20,7 +20,7 @@
   /// the entry that has taken it over.
   void Reclaim(EntryRequest& request);
   /// Looks up the owner of a key that a caller queries without a request.
-  void Look(EntryRequest& request);
+  void LookUpOwner(EntryRequest& request);
 
   void OnLocate(LinkId link, const Locate& locate);
   void OnLocated(LinkId link, const Located& located);
@@ -42,12 +42,11 @@
   void StartClaim(EntryRequest& request);
   /// Chooses the agents to be named in a new claim.
   void ChooseEligible(EntryRequest& request) const;
-  void OnClaimed(const RequestKey& key, const ClaimVerdict& verdict);
-  void OnReclaimed(EntryRequest& request, const ClaimVerdict& verdict);
-  /// Requests a decision that the holders can't make; see KeyRegister.
+  void OnClaimed(const RequestKey& key, const ClaimResult& claim_result);
+  void OnReclaimed(EntryRequest& request, const ClaimResult& claim_result);
+  /// Requests a decision that the holders can't make; see KeyArbiter.
   void RequestPlatformDecision(EntryRequest& request);
-  void OnPlatformDecision(const RequestKey& key,
-                          KeyRegister::Decision decision);
+  void OnPlatformDecision(const RequestKey& key, KeyArbiter::Decision decision);
   void OnHeld(EntryRequest& request, const lavenderkeel::Claim& claim);
   void QueryAgent(EntryRequest& request, const PeerId& agent);
   void CheckSealCompleted(EntryRequest& request);
--- a/lavenderkeel/dispatch/request_body.cc
+++ b/lavenderkeel/dispatch/request_body.cc
@@ -62,7 +62,7 @@
   }
   const uint64_t max_tokens = reader.Number(
       "max_tokens",
-      {.otherwise = kDefaultMaxTokens, .least = 1, .most = kMaxTokensLimit});
+      {.default_value = kDefaultMaxTokens, .min = 1, .max = kMaxTokensLimit});
   ParsedBody parsed;
   parsed.stream = reader.Bool("stream", false);
   BOOST_LEAF_CHECK(CheckFaults(faults, ResultCode::kWrongType));
--- a/lavenderkeel/dispatch/request_controller.cc
+++ b/lavenderkeel/dispatch/request_controller.cc
@@ -24,14 +24,14 @@
   EntryRequest* known = context_.requests.Find(submission.key);
   if (known != nullptr && !known->observer &&
       known->body_hash != submission.body_hash) {
-    context_.outbox.Push(CallerFeed::ErrorReply(
+    context_.outbox.Push(CallerSubscriptions::ErrorReply(
         submission.caller, ResultCode::kKeyReused,
         std::string(Describe(ResultCode::kKeyReused).message),
         submission.public_key, Duration::zero()));
     return;
   }
-  context_.feed.Open(submission.caller, submission.key, submission.public_key,
-                     submission.stream);
+  context_.caller_subscriptions.Open(submission.caller, submission.key,
+                                     submission.public_key, submission.stream);
   if (known != nullptr) {
     JoinExisting(*known, &submission);
     return;
@@ -77,7 +77,7 @@
                                    const RequestKey& key,
                                    const std::string& public_key,
                                    const std::string& team) {
-  context_.feed.Open(caller, key, public_key, /*stream=*/false);
+  context_.caller_subscriptions.Open(caller, key, public_key, /*stream=*/false);
   if (EntryRequest* known = context_.requests.Find(key)) {
     JoinExisting(*known, nullptr);
     return;
@@ -87,7 +87,7 @@
   request.observer = true;
   request.properties.team = team;
   request.arrived = context_.clock.Now();
-  ownership_.Look(request);
+  ownership_.LookUpOwner(request);
 }
 
 void RequestController::JoinExisting(EntryRequest& request,
@@ -126,7 +126,7 @@
 
 bool RequestController::MustConfirmWithHolders(const EntryRequest& request,
                                                ResultCode code) const {
-  return EntryContext::SaysNotRun(code) && request.was_queued &&
+  return EntryContext::MeansNotRun(code) && request.was_queued &&
          request.has_callers_key() &&
          (context_.unconfirmed_loss_at >= request.arrived ||
           context_.has_unconfirmed_loss());
@@ -139,7 +139,7 @@
   request.state = State::kClaiming;
   context_.claimer.Start(
       request.key, Claim(), context_.members.self().id, /*lookup=*/true,
-      [this, code](const RequestKey& key, const ClaimVerdict& verdict) {
+      [this, code](const RequestKey& key, const ClaimResult& claim_result) {
         EntryRequest* asked = context_.requests.FindIn(key, State::kClaiming);
         if (asked == nullptr) {
           return;
@@ -147,8 +147,9 @@
         const HolderCoverage needed = asked->platform_granted
                                           ? HolderCoverage::kPlatformDecides
                                           : HolderCoverage::kFull;
-        const bool is_granted = verdict.kind == ClaimVerdict::Kind::kOurs &&
-                                verdict.coverage <= needed;
+        const bool is_granted =
+            claim_result.kind == ClaimResult::Kind::kGranted &&
+            claim_result.coverage <= needed;
         Finish(*asked, is_granted ? code : ResultCode::kCannotVouch);
       });
 }
@@ -196,8 +197,9 @@
   // without waiting for a timeout.
   if (info.outcome != Outcome::kAnswered) {
     const Duration retry_after = dispatch_.RetryAfter(request, code);
-    for (const SubscriptionId id : context_.feed.SubscriptionsOf(request.key)) {
-      context_.feed.Fail(id, code, retry_after);
+    for (const SubscriptionId id :
+         context_.caller_subscriptions.SubscriptionsOf(request.key)) {
+      context_.caller_subscriptions.Fail(id, code, retry_after);
     }
   }
   context_.NotifyWatchers(request);
@@ -253,11 +255,12 @@
   }
   context_.claimer.Start(
       key, Claim(), PeerId(), /*lookup=*/true,
-      [this, found](const RequestKey& held_key, const ClaimVerdict& verdict) {
-        const bool held = verdict.kind == ClaimVerdict::Kind::kHeld;
+      [this, found](const RequestKey& held_key,
+                    const ClaimResult& claim_result) {
+        const bool held = claim_result.kind == ClaimResult::Kind::kHeld;
         if (held) {
-          CancelAt(verdict.claim.owner, held_key, /*by_caller=*/true);
-          for (const PeerId& agent : verdict.claim.agents) {
+          CancelAt(claim_result.claim.owner, held_key, /*by_caller=*/true);
+          for (const PeerId& agent : claim_result.claim.agents) {
             CancelAt(agent, held_key, /*by_caller=*/true);
           }
         }
@@ -266,10 +269,12 @@
 }
 
 void RequestController::OnCallerGone(CallerId caller) {
-  const std::optional<RequestKey> key = context_.feed.OnCallerGone(caller);
+  const std::optional<RequestKey> key =
+      context_.caller_subscriptions.OnCallerGone(caller);
   EntryRequest* request =
       key.has_value() ? context_.requests.Find(*key) : nullptr;
-  if (request == nullptr || !context_.feed.SubscriptionsOf(*key).empty()) {
+  if (request == nullptr ||
+      !context_.caller_subscriptions.SubscriptionsOf(*key).empty()) {
     return;
   }
   // A caller of non-repeatable work may reconnect for its answer; repeatable
@@ -315,7 +320,7 @@
   } else if (const auto* not_here = std::get_if<NotHere>(&message)) {
     OnNotHere(link, *not_here);
   } else if (const auto* chunk = std::get_if<Chunk>(&message)) {
-    context_.feed.OnChunk(link, *chunk);
+    context_.caller_subscriptions.OnChunk(link, *chunk);
   } else if (const auto* finish = std::get_if<Finished>(&message)) {
     OnFinish(link, *finish);
   } else if (const auto* locate = std::get_if<Locate>(&message)) {
@@ -339,8 +344,8 @@
              reply.subscription == 0) {
     dispatch_.OnGoNotReceived(*request);
   } else if (reply.subscription != 0 && !request->is_at_agent()) {
-    context_.feed.Fail(reply.subscription, ResultCode::kAnswerGone,
-                       Duration::zero());
+    context_.caller_subscriptions.Fail(
+        reply.subscription, ResultCode::kAnswerGone, Duration::zero());
     if (request->state == State::kFollowing) {
       Conclude(*request, ResultCode::kAnswerGone);
     }
@@ -352,16 +357,17 @@
   EntryRequest* request = FindForPeer(link, finish.key, peer);
   const auto code = Describe(static_cast<ResultCode>(finish.code)).code;
   if (finish.subscription != 0) {
-    context_.feed.OnFinish(finish);
+    context_.caller_subscriptions.OnFinish(finish);
     const bool follows = request == nullptr ||
                          request->state == State::kFollowing ||
                          request->state == State::kDone;
     if (follows && code != ResultCode::kAnswered) {
-      context_.feed.Fail(finish.subscription, code, Duration::zero());
+      context_.caller_subscriptions.Fail(finish.subscription, code,
+                                         Duration::zero());
     }
     if (request != nullptr && request->state == State::kFollowing &&
         request->agent == peer &&
-        context_.feed.SubscriptionsOf(request->key).empty()) {
+        context_.caller_subscriptions.SubscriptionsOf(request->key).empty()) {
       Conclude(*request, code);
     }
     return;
@@ -404,7 +410,7 @@
       continue;
     }
     if (request->state == State::kDone) {
-      if (context_.feed.SubscriptionsOf(key).empty()) {
+      if (context_.caller_subscriptions.SubscriptionsOf(key).empty()) {
         context_.requests.Erase(key);
       } else {
         context_.requests.SetTimer(
@@ -427,7 +433,7 @@
 }
 
 bool RequestController::IsIdle() const {
-  return active() == 0 && context_.feed.size() == 0;
+  return active() == 0 && context_.caller_subscriptions.size() == 0;
 }
 
 const EntryRequest* RequestController::Explain(
--- a/lavenderkeel/forward/entry_roster.cc
+++ b/lavenderkeel/forward/entry_directory.cc
@@ -1,4 +1,4 @@
-#include "lavenderkeel/forward/entry_roster.h"
+#include "lavenderkeel/forward/entry_directory.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,12 +7,12 @@
 
 namespace lavenderkeel {
 
-EntryRoster::EntryRoster(Options options, InstanceInfo self)
+EntryDirectory::EntryDirectory(Options options, InstanceInfo self)
     : options_(options), self_(std::move(self)) {
   UpdateCoordinators();
 }
 
-bool EntryRoster::Update(const InstanceInfo& info, TimePoint now) {
+bool EntryDirectory::Update(const InstanceInfo& info, TimePoint now) {
   if (info.id.instance == self_.id.instance || info.role != Role::kEntry) {
     return false;
   }
@@ -33,7 +33,7 @@
   return is_new;
 }
 
-bool EntryRoster::OnConnected(const InstanceInfo& info, TimePoint now) {
+bool EntryDirectory::OnConnected(const InstanceInfo& info, TimePoint now) {
   const bool is_new = Update(info, now);
   if (is_new) {
     new_entries_.push_back(info);
@@ -53,9 +53,9 @@
   return !std::exchange(known.connected, true) || returned;
 }
 
-bool EntryRoster::OnListed(const std::vector<InstanceInfo>& listed,
-                           bool complete,
-                           TimePoint now) {
+bool EntryDirectory::OnListed(const std::vector<InstanceInfo>& listed,
+                              bool complete,
+                              TimePoint now) {
   bool changed = false;
   for (const InstanceInfo& info : listed) {
     changed |= Update(info, now);
@@ -71,7 +71,7 @@
   return changed;
 }
 
-void EntryRoster::OnUnavailable(const PeerId& peer) {
+void EntryDirectory::OnUnavailable(const PeerId& peer) {
   const auto found = entries_.find(peer.instance);
   if (found != entries_.end() && found->second.info.id == peer &&
       !std::exchange(found->second.unavailable, true)) {
@@ -79,11 +79,11 @@
   }
 }
 
-std::vector<InstanceInfo> EntryRoster::TakeNewEntries() {
+std::vector<InstanceInfo> EntryDirectory::TakeNewEntries() {
   return std::exchange(new_entries_, {});
 }
 
-std::vector<InstanceInfo> EntryRoster::ListOthers(
+std::vector<InstanceInfo> EntryDirectory::ListOthers(
     bool include_unavailable) const {
   std::vector<InstanceInfo> others;
   others.reserve(entries_.size());
@@ -95,7 +95,7 @@
   return others;
 }
 
-size_t EntryRoster::RankFor(uint64_t key) const {
+size_t EntryDirectory::RankFor(uint64_t key) const {
   const uint64_t own_weight = RendezvousWeight(key, self_.id.instance);
   return static_cast<size_t>(
       std::ranges::count_if(entries_, [&](const auto& item) {
@@ -104,7 +104,7 @@
       }));
 }
 
-void EntryRoster::UpdateCoordinators() {
+void EntryDirectory::UpdateCoordinators() {
   std::vector<InstanceInfo> candidates = AvailableOthers();
   candidates.push_back(self_);
   coordinators_ = ChooseCoordinators(candidates, options_.coordinators);
--- a/lavenderkeel/forward/entry_roster.h
+++ b/lavenderkeel/forward/entry_directory.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_FORWARD_ENTRY_ROSTER_H_
-#define LAVENDERKEEL_FORWARD_ENTRY_ROSTER_H_
+#ifndef LAVENDERKEEL_FORWARD_ENTRY_DIRECTORY_H_
+#define LAVENDERKEEL_FORWARD_ENTRY_DIRECTORY_H_
 
 #include <map>
 #include <set>
@@ -20,7 +20,7 @@
 /// slots are granted late. So a new entry is announced once, by an entry that
 /// connects to it before a list names it, and complete lists go to one entry at
 /// a time; they make up for lost announcements and show which entries are gone.
-class EntryRoster {
+class EntryDirectory {
  public:
   struct Options {
     /// An entry that was in no list for this time is forgotten. Complete lists
@@ -29,7 +29,7 @@
     CoordinatorRules coordinators;
   };
 
-  EntryRoster(Options options, InstanceInfo self);
+  EntryDirectory(Options options, InstanceInfo self);
 
   /// Records a connection; an entry not known before is announced.
   /// @return whether it is the first connection, or the entry was unavailable
@@ -91,4 +91,4 @@
 
 }  // namespace lavenderkeel
 
-#endif  // LAVENDERKEEL_FORWARD_ENTRY_ROSTER_H_
+#endif  // LAVENDERKEEL_FORWARD_ENTRY_DIRECTORY_H_
--- a/lavenderkeel/forward/entry_exchange.cc
+++ b/lavenderkeel/forward/entry_exchange.cc
@@ -41,7 +41,7 @@
                              MemberTable& members,
                              Outbox& outbox,
                              ForwardController& controller,
-                             SlotGate& slot_scheduler,
+                             SlotScheduler& slot_scheduler,
                              SlotRouter& slot_router,
                              const ServerLog& servers,
                              CrashGuard& crashes,
@@ -57,7 +57,7 @@
       crashes_(crashes),
       rollouts_(rollouts),
       clock_(clock),
-      roster_(options.roster, members.self()) {
+      entry_directory_(options.entry_directory, members.self()) {
   OnRosterChange();
 }
 
@@ -66,8 +66,8 @@
   outbox_.Send(link, lavenderkeel::ToWire(crashes_.All(), /*complete=*/true,
                                           clock_.Now()));
   // Both ends open a connection; the list is sent over the first.
-  if (roster_.OnConnected(peer, clock_.Now())) {
-    SendList(link, peer.id.instance, roster_.AvailableOthers(),
+  if (entry_directory_.OnConnected(peer, clock_.Now())) {
+    SendList(link, peer.id.instance, entry_directory_.AvailableOthers(),
              /*complete=*/true);
     OnRosterChange();
   }
@@ -84,22 +84,24 @@
   coordinator_status_.erase(peer);
   feed_receivers_.erase(peer);
   rollouts_.OnPeerLost(peer);
-  roster_.OnUnavailable(peer);
+  entry_directory_.OnUnavailable(peer);
   OnRosterChange();
 }
 
 void EntryExchange::OnPeerLeaving(const PeerId& peer) {
-  roster_.OnUnavailable(peer);
+  entry_directory_.OnUnavailable(peer);
   OnRosterChange();
 }
 
 void EntryExchange::OnRosterChange() {
-  slot_router_.set_hosts_gates(roster_.self_coordinates());
-  slot_router_.set_weakest_host(roster_.min_coordinator_share());
-  members_.OnInstanceList(roster_.Others());
-  members_.set_wanted_entries(roster_.self_coordinates()
-                                  ? std::nullopt
-                                  : std::optional(roster_.coordinators()));
+  slot_router_.set_hosts_schedulers(entry_directory_.self_coordinates());
+  slot_router_.set_min_host_processor_share(
+      entry_directory_.min_coordinator_share());
+  members_.OnInstanceList(entry_directory_.Others());
+  members_.set_wanted_entries(
+      entry_directory_.self_coordinates()
+          ? std::nullopt
+          : std::optional(entry_directory_.coordinators()));
 }
 
 void EntryExchange::OnStatus(const Member& member,
@@ -119,16 +121,16 @@
   if (status.entries_known == 0) {
     return;
   }
-  coordinator_status_[peer] = {
-      .counts = {.known = status.entries_known, .heard = status.entries_heard},
-      .server_change = status.server_change,
-      .table_version = status.table_version,
-      .store_lost = status.store_lost,
-      .data_centre = member.info.data_centre,
-      .at = clock_.Now()};
+  coordinator_status_[peer] = {.counts = {.known = status.entries_known,
+                                          .reporting = status.entries_heard},
+                               .server_change = status.server_change,
+                               .table_version = status.table_version,
+                               .store_lost = status.store_lost,
+                               .data_centre = member.info.data_centre,
+                               .at = clock_.Now()};
   controller_.OnRelayedTotals(name, RelayedFromWire(status));
   if (!member.info.leaving) {
-    slot_router_.OnHeard(name, GroupReportsFromWire(status));
+    slot_router_.OnReport(name, GroupReportsFromWire(status));
   }
 }
 
@@ -155,7 +157,7 @@
       listed.push_back(FromHello(*entry));
     }
   }
-  if (roster_.OnListed(listed, known.complete, clock_.Now())) {
+  if (entry_directory_.OnListed(listed, known.complete, clock_.Now())) {
     OnRosterChange();
   }
 }
@@ -164,7 +166,8 @@
   const TimePoint now = clock_.Now();
   ChooseFeedSource(own_state);
   SendFeeds();
-  rollouts_.ChooseDecider(members_.self().id, roster_.self_coordinates(),
+  rollouts_.ChooseDecider(members_.self().id,
+                          entry_directory_.self_coordinates(),
                           [this](const PeerId& peer) { return IsUp(peer); });
   SendNewEntries();
   SendCrashReports();
@@ -181,7 +184,7 @@
 void EntryExchange::ChooseFeedSource(const OwnState& own_state) {
   const TimePoint now = clock_.Now();
   feed_source_.reset();
-  if (roster_.self_coordinates()) {
+  if (entry_directory_.self_coordinates()) {
     return;
   }
   uint64_t latest = own_state.server_change;
@@ -265,7 +268,8 @@
 }
 
 bool EntryExchange::RelaysUsageOf(const std::string& instance) const {
-  if (!roster_.self_coordinates() || roster_.IsCoordinator(instance)) {
+  if (!entry_directory_.self_coordinates() ||
+      entry_directory_.IsCoordinator(instance)) {
     return false;
   }
   // Whether no reporting coordinator has a higher weight, without building a
@@ -280,12 +284,12 @@
 }
 
 EntryExchange::Counts EntryExchange::Count() const {
-  if (roster_.self_coordinates()) {
+  if (entry_directory_.self_coordinates()) {
     Counts counts;
     for (const Member* member : members_.Members(Role::kEntry)) {
       if (!member->info.leaving) {
         ++counts.known;
-        counts.heard += member->live() ? 1 : 0;
+        counts.reporting += member->live() ? 1 : 0;
       }
     }
     return counts;
@@ -293,12 +297,13 @@
   // The coordinator with the most reporting entries relays their usage here.
   std::optional<Counts> most;
   for (const auto& [peer, latest_status] : coordinator_status_) {
-    if (IsUp(peer) &&
-        (!most.has_value() || latest_status.counts.heard > most->heard)) {
+    if (IsUp(peer) && (!most.has_value() ||
+                       latest_status.counts.reporting > most->reporting)) {
       most = latest_status.counts;
     }
   }
-  return most.value_or(Counts{.known = roster_.size(), .heard = 1});
+  return most.value_or(
+      Counts{.known = entry_directory_.size(), .reporting = 1});
 }
 
 void EntryExchange::SendStatus(const OwnState& own_state) {
@@ -306,14 +311,14 @@
   status_round_ = (status_round_ + 1) % options_.full_status_every;
   ForwardReport report = controller_.Report();
   slot_scheduler_.OnReport(members_.self().id.ToString(), report.in_flight);
-  const std::vector<GateReport> group_reports = slot_scheduler_.Reports();
-  slot_router_.OnHeard(members_.self().id.ToString(), group_reports);
+  const std::vector<SlotGroupReport> group_reports = slot_scheduler_.Reports();
+  slot_router_.OnReport(members_.self().id.ToString(), group_reports);
   std::erase_if(report.team_totals, [&](const auto& total) {
     const bool unchanged = std::exchange(last_sent_totals_[total.first],
                                          total.second) == total.second;
     return unchanged && !include_unchanged;
   });
-  const bool coordinates = roster_.self_coordinates();
+  const bool coordinates = entry_directory_.self_coordinates();
   ForwardStatus to_coordinator = ToWire(report, group_reports);
   to_coordinator.server_change = own_state.server_change;
   to_coordinator.store_lost = own_state.store_lost;
@@ -324,7 +329,7 @@
   const Counts counts = Count();
   if (coordinates) {
     to_coordinator.entries_known = static_cast<uint32_t>(counts.known);
-    to_coordinator.entries_heard = static_cast<uint32_t>(counts.heard);
+    to_coordinator.entries_heard = static_cast<uint32_t>(counts.reporting);
   }
   // An entry without a slot scheduler needs no counts of what runs at the
   // servers.
@@ -336,21 +341,22 @@
     if (!member->outbound.has_value()) {
       continue;
     }
-    if (roster_.IsCoordinator(member->info.id.instance)) {
+    if (entry_directory_.IsCoordinator(member->info.id.instance)) {
       to_coordinator.feed_wanted = feed_source_ == member->info.id;
       outbox_.Send(*member->outbound, to_coordinator);
     } else if (coordinates) {
       ForwardStatus status = to_other;
-      internal::PutRelayed(relay_.For(member->info.id, include_unchanged),
+      internal::PutRelayed(relay_.TotalsFor(member->info.id, include_unchanged),
                            status);
       outbox_.Send(*member->outbound, std::move(status));
     }
   }
-  relay_.EndRound();
+  relay_.ClearChanges();
 }
 
 void EntryExchange::SendNewEntries() {
-  const std::vector<InstanceInfo> new_entries = roster_.TakeNewEntries();
+  const std::vector<InstanceInfo> new_entries =
+      entry_directory_.TakeNewEntries();
   if (new_entries.empty()) {
     return;
   }
@@ -364,13 +370,13 @@
 
 void EntryExchange::OnCrashNews(const Member& member, const CrashNews& news) {
   // A coordinator sends its crash reports to all entries itself.
-  const bool pass_on = roster_.self_coordinates() &&
-                       !roster_.IsCoordinator(member.info.id.instance);
-  crashes_.OnNews(news, pass_on);
+  const bool pass_on = entry_directory_.self_coordinates() &&
+                       !entry_directory_.IsCoordinator(member.info.id.instance);
+  crashes_.OnReports(news, pass_on);
 }
 
 void EntryExchange::SendCrashReports() {
-  const std::vector<CrashReport> reports = crashes_.TakeNews();
+  const std::vector<CrashReport> reports = crashes_.TakeNewReports();
   if (!reports.empty()) {
     members_.SendToAll(
         Role::kEntry,
@@ -394,7 +400,7 @@
       next = member;
     }
   }
-  if (next == nullptr || !roster_.self_coordinates()) {
+  if (next == nullptr || !entry_directory_.self_coordinates()) {
     return;
   }
   last_list_receiver_ = next->info.id.instance;
--- a/lavenderkeel/forward/entry_exchange.h
+++ b/lavenderkeel/forward/entry_exchange.h
@@ -11,13 +11,13 @@
 #include "lavenderkeel/action.h"
 #include "lavenderkeel/base/clock.h"
 #include "lavenderkeel/crash/crash_guard.h"
-#include "lavenderkeel/forward/draw_relay.h"
-#include "lavenderkeel/forward/entry_roster.h"
+#include "lavenderkeel/forward/entry_directory.h"
 #include "lavenderkeel/forward/forward_controller.h"
 #include "lavenderkeel/forward/rollout_exchange.h"
 #include "lavenderkeel/forward/server_log.h"
-#include "lavenderkeel/forward/slot_gate.h"
 #include "lavenderkeel/forward/slot_router.h"
+#include "lavenderkeel/forward/slot_scheduler.h"
+#include "lavenderkeel/forward/usage_relay.h"
 #include "lavenderkeel/membership/member_table.h"
 
 namespace lavenderkeel {
@@ -53,7 +53,7 @@
     /// every entry reads the store itself: the store may reject only the
     /// coordinators.
     Duration store_fallback_after = std::chrono::seconds(3);
-    EntryRoster::Options roster;
+    EntryDirectory::Options entry_directory;
   };
 
   /// Further state that the status contains.
@@ -67,7 +67,7 @@
   /// entry; both include this entry.
   struct Counts {
     size_t known = 1;
-    size_t heard = 1;
+    size_t reporting = 1;
 
     friend bool operator==(const Counts&, const Counts&) = default;
   };
@@ -76,7 +76,7 @@
                 MemberTable& members,
                 Outbox& outbox,
                 ForwardController& controller,
-                SlotGate& slot_scheduler,
+                SlotScheduler& slot_scheduler,
                 SlotRouter& slot_router,
                 const ServerLog& servers,
                 CrashGuard& crashes,
@@ -104,7 +104,7 @@
   bool feed_source_lost_store() const;
 
   Counts Count() const;
-  const EntryRoster& roster() const { return roster_; }
+  const EntryDirectory& entry_directory() const { return entry_directory_; }
 
  private:
   struct CoordinatorStatus {
@@ -149,14 +149,14 @@
   MemberTable& members_;
   Outbox& outbox_;
   ForwardController& controller_;
-  SlotGate& slot_scheduler_;
+  SlotScheduler& slot_scheduler_;
   SlotRouter& slot_router_;
   const ServerLog& servers_;
   CrashGuard& crashes_;
   RolloutExchange& rollouts_;
   const Clock& clock_;
-  EntryRoster roster_;
-  DrawRelay relay_;
+  EntryDirectory entry_directory_;
+  UsageRelay relay_;
   std::map<PeerId, CoordinatorStatus> coordinator_status_;
   /// The coordinator that the list of servers comes from; none if this entry
   /// coordinates or receives no status of a coordinator.
--- a/lavenderkeel/forward/forward_controller.cc
+++ b/lavenderkeel/forward/forward_controller.cc
@@ -75,7 +75,7 @@
                                      const ServerDirectory& directory,
                                      SlotRouter& slot_router,
                                      CrashGuard& crashes,
-                                     RolloutGuide& version_selector,
+                                     VersionSelector& version_selector,
                                      const Clock& clock,
                                      const EventLog& log,
                                      Metrics& metrics)
@@ -91,7 +91,7 @@
       log_(log),
       metrics_(metrics),
       rates_(options.rates, clock.Now()),
-      sharing_entries_(rates_.share().Entries(clock.Now())) {
+      sharing_entries_(rates_.share().EntryCount(clock.Now())) {
   options_.retries.extra =
       options_.retry_extra / static_cast<double>(sharing_entries_);
 }
@@ -109,7 +109,7 @@
                                 {"routes", table->content().routes.size()},
                                 {"teams", table->content().teams.size()}});
   table_ = std::move(table);
-  std::erase_if(client_ages_, [this](const auto& item) {
+  std::erase_if(request_age_estimators_, [this](const auto& item) {
     return std::ranges::none_of(
         table_->content().routes, [&item](const Route& route) {
           return item.first == std::pair(route.name, route.timeout);
@@ -130,14 +130,15 @@
     Refuse(exchange, {}, {.code = ResultCode::kLeaving});
     return;
   }
-  std::optional<RequestTerms> terms = codec_.read_request(head);
-  if (!terms.has_value()) {
+  std::optional<RequestMetadata> metadata = codec_.read_request(head);
+  if (!metadata.has_value()) {
     Refuse(exchange, {}, {.code = ResultCode::kMalformedRequest});
     return;
   }
   const TimePoint now = clock_.Now();
   if (table_ != nullptr) {
-    Begin(exchange, std::move(head), std::move(body), *std::move(terms), now);
+    Begin(exchange, std::move(head), std::move(body), *std::move(metadata),
+          now);
     return;
   }
   // If all entries were killed while the store is unavailable, a client that is
@@ -145,12 +146,12 @@
   // short wait saves the attempt.
   const double wait_seconds =
       options_.unconfigured_wait_per_time_left *
-      ToSeconds(terms->time_left.value_or(Duration::max()));
+      ToSeconds(metadata->time_left.value_or(Duration::max()));
   const Duration wait = FromSeconds(
       std::min(ToSeconds(options_.max_unconfigured_wait), wait_seconds));
   HoldEarlyRequest(exchange, {.head = std::move(head),
                               .body = std::move(body),
-                              .terms = *std::move(terms),
+                              .metadata = *std::move(metadata),
                               .arrived = now,
                               .waits_until = now + wait});
 }
@@ -176,25 +177,26 @@
     EarlyRequest& early = node.mapped();
     held_body_bytes_ -= early.body.size();
     Begin(exchange, std::move(early.head), std::move(early.body),
-          std::move(early.terms), early.arrived);
+          std::move(early.metadata), early.arrived);
   }
 }
 
 void ForwardController::CheckEarlyRequests(TimePoint now) {
   if (table_ != nullptr) {
-    if (!rates_.share().Joining(now)) {
+    if (!rates_.share().IsJoining(now)) {
       BeginEarlyRequests();
     }
     return;
   }
-  const bool over_body_limit = held_body_bytes_ > options_.held_body_bytes;
+  const bool over_body_limit =
+      held_body_bytes_ > options_.max_buffered_body_bytes;
   for (auto early = early_requests_.begin(); early != early_requests_.end();) {
     if (now < early->second.waits_until && !over_body_limit) {
       ++early;
       continue;
     }
     held_body_bytes_ -= early->second.body.size();
-    Refuse(early->first, early->second.terms.request_id,
+    Refuse(early->first, early->second.metadata.request_id,
            {.code = ResultCode::kNoConfiguration,
             .retry_after = options_.unconfigured_retry_after});
     early = early_requests_.erase(early);
@@ -204,12 +206,12 @@
 void ForwardController::Begin(ExchangeId exchange,
                               RequestHead head,
                               std::string body,
-                              RequestTerms terms,
+                              RequestMetadata metadata,
                               TimePoint arrived) {
   const std::string* host = FindField(head.fields, "Host");
   auto request = std::make_unique<ForwardedRequest>();
   request->exchange = exchange;
-  request->terms = std::move(terms);
+  request->metadata = std::move(metadata);
   request->table = table_;
   request->route =
       host == nullptr ? nullptr : table_->FindRoute(*host, head.target);
@@ -221,13 +223,13 @@
       // Whether the request exceeds the rate is known half a second later.
       HoldEarlyRequest(exchange, {.head = std::move(request->head),
                                   .body = std::move(request->body),
-                                  .terms = std::move(request->terms),
+                                  .metadata = std::move(request->metadata),
                                   .arrived = arrived});
       return;
     }
     LogEnd(*request, Describe(refusal->code).name,
            Describe(refusal->code).http_status);
-    Refuse(exchange, request->terms.request_id, *refusal);
+    Refuse(exchange, request->metadata.request_id, *refusal);
     return;
   }
   request->fingerprint = FingerprintOf({.team = request->team,
@@ -240,7 +242,7 @@
   requests_[exchange] = std::move(request);
   retry_windows_.try_emplace(admitted.service, options_.retries)
       .first->second.OnRequest(clock_.Now());
-  crashes_.OnArrival(admitted.fingerprint);
+  crashes_.OnRequestArrived(admitted.fingerprint);
   Enqueue(admitted);
 }
 
@@ -250,14 +252,15 @@
     return Refusal{.code = ResultCode::kNoRoute};
   }
   const Route& route = *request.route;
-  request.service = RouteTable::PickService(route, request.terms.request_id);
+  request.service = RouteTable::PickService(route, request.metadata.request_id);
   const Service* service = table_->FindService(request.service);
   request.model_server = service != nullptr && service->batch_slots > 0;
   request.priority = route.priority;
   if (table_->has_teams()) {
-    const TeamTerms* team = request.terms.api_key.has_value()
-                                ? table_->FindTeamByKey(*request.terms.api_key)
-                                : nullptr;
+    const TeamConfig* team =
+        request.metadata.api_key.has_value()
+            ? table_->FindTeamByKey(*request.metadata.api_key)
+            : nullptr;
     if (team == nullptr && !route.is_public) {
       return Refusal{.code = ResultCode::kUnknownTeam};
     }
@@ -270,16 +273,17 @@
   constexpr Duration kMaxTimeLeft = std::chrono::hours(1);
   request.due =
       request.arrived +
-      std::min(request.terms.time_left.value_or(kMaxTimeLeft),
+      std::min(request.metadata.time_left.value_or(kMaxTimeLeft),
                route.timeout > Duration::zero() ? route.timeout : kMaxTimeLeft);
   request.first_sent =
       request.arrived -
-      client_ages_[{route.name, route.timeout}].OnRequest(
+      request_age_estimators_[{route.name, route.timeout}].OnRequest(
           std::max(request.due - request.arrived, kMinTimeForAttempt));
-  request.last_event_id = request.terms.last_event_id;
-  request.is_long =
-      route.streaming && route_history_[route.name].sizes.IsLong(request.terms);
-  if (held_body_bytes_ + request.body.size() > options_.held_body_bytes) {
+  request.last_event_id = request.metadata.last_event_id;
+  request.is_long = route.streaming &&
+                    route_history_[route.name].sizes.IsLong(request.metadata);
+  if (held_body_bytes_ + request.body.size() >
+      options_.max_buffered_body_bytes) {
     return Refusal{.code = ResultCode::kOverloaded};
   }
   return UseTeamRate(request);
@@ -287,13 +291,13 @@
 
 std::optional<ForwardController::Refusal> ForwardController::UseTeamRate(
     ForwardedRequest& request) {
-  const TeamTerms* team =
+  const TeamConfig* team =
       request.team.empty() ? nullptr : table_->FindTeam(request.team);
   if (team == nullptr) {
     return std::nullopt;
   }
   const uint64_t tokens =
-      request.terms.prompt_tokens + request.terms.output_tokens;
+      request.metadata.prompt_tokens + request.metadata.output_tokens;
   const double units = !team->rate.in_tokens ? 1
                        : tokens > 0          ? static_cast<double>(tokens)
                                              : team->rate.tokens_if_unknown;
@@ -304,7 +308,7 @@
   }
   // An undecided request is not refused but checked again later.
   log_.Info(shortage->undecided ? "rate_waits" : "rate_refused",
-            {{"id", request.terms.request_id},
+            {{"id", request.metadata.request_id},
              {"team", team->name},
              {"units", units},
              {"level", shortage->level},
@@ -336,7 +340,7 @@
 void ForwardController::RefuseAsCrashing(ForwardedRequest& request,
                                          const CrashDecision& decision) {
   log_.Info("crash_refused",
-            {{"id", request.terms.request_id},
+            {{"id", request.metadata.request_id},
              {"fingerprint", request.fingerprint},
              {"lost", decision.assessment.lost},
              {"in_turn", decision.assessment.in_turn},
@@ -368,63 +372,67 @@
   if (decision.kind == CrashDecision::Kind::kWait) {
     request.held = true;
     const bool suspected =
-        decision.assessment.standing != CrashStanding::kClear;
+        decision.assessment.suspicion != CrashSuspicion::kClear;
     if (!held_before && suspected) {
-      log_.Info("crash_waits", {{"id", request.terms.request_id},
+      log_.Info("crash_waits", {{"id", request.metadata.request_id},
                                 {"fingerprint", request.fingerprint},
                                 {"lost", decision.assessment.lost},
                                 {"in_turn", decision.assessment.in_turn}});
     }
     return;
   }
-  request.standing = decision.assessment.standing;
+  request.suspicion = decision.assessment.suspicion;
   request.attempt = ++last_attempt_;
   attempts_[request.attempt] = request.exchange;
-  SlotAsk ask = MakeSlotRequest(request);
+  SlotRequest slot_request = MakeSlotRequest(request);
   // The slot may be granted before this returns.
-  slot_router_.Ask(std::move(ask));
+  slot_router_.RequestSlot(std::move(slot_request));
 }
 
-SlotAsk ForwardController::MakeSlotRequest(const ForwardedRequest& request) {
+SlotRequest ForwardController::MakeSlotRequest(
+    const ForwardedRequest& request) {
   const Route& route = *request.route;
   const RouteHistory& history = route_history_[route.name];
-  SlotAsk ask = {.attempt = request.attempt,
-                 .service = request.service,
-                 .model_server = request.model_server,
-                 .priority = request.priority,
-                 .route_priority = route.priority,
-                 .in_time_until = timing_.LatestStartInTime(
-                     request, AnswerTimeQuantile(history)),
-                 .due = request.due,
-                 .standing = request.standing};
+  SlotRequest slot_request = {.attempt = request.attempt,
+                              .service = request.service,
+                              .model_server = request.model_server,
+                              .priority = request.priority,
+                              .route_priority = route.priority,
+                              .in_time_until = timing_.LatestStartInTime(
+                                  request, AnswerTimeQuantile(history)),
+                              .due = request.due,
+                              .suspicion = request.suspicion};
   for (const std::string& server : request.tried) {
-    ask.tried.push_back(HashBytes(server));
+    slot_request.tried.push_back(HashBytes(server));
   }
-  RolloutGuide::Choice choice =
+  VersionSelector::Choice choice =
       version_selector_.Choose(request.service, route.name, request.fresh());
-  ask.version = std::move(choice.version);
-  ask.canary_version = std::move(choice.canary);
+  slot_request.version = std::move(choice.version);
+  slot_request.canary_version = std::move(choice.canary);
   if (!request.streams()) {
-    return ask;
+    return slot_request;
   }
   if (request.head_sent) {
     // The client has a part of the answer and sees a pause: the request goes
     // first within the rank of its team.
-    ask.route_priority = table_->first_priority() - 1;
+    slot_request.route_priority = table_->first_priority() - 1;
   }
-  ask.size = history.sizes.Of(request.terms);
-  ask.event_gap_target = route.event_gap_target;
+  slot_request.size = history.sizes.EstimateFor(request.metadata);
+  slot_request.event_gap_target = route.event_gap_target;
   // A request that was sent before has already waited, so length does not delay
   // it.
-  const bool goes_last = request.is_long && history.long_requests.GoLast();
-  ask.by_length = request.tried.empty() && (!request.is_long || goes_last);
-  if (ask.by_length && goes_last && route.priority > table_->first_priority()) {
+  const bool goes_last =
+      request.is_long && history.long_requests.ShouldGoLast();
+  slot_request.by_length =
+      request.tried.empty() && (!request.is_long || goes_last);
+  if (slot_request.by_length && goes_last &&
+      route.priority > table_->first_priority()) {
     // With the next rank, except in the most urgent one, whose target also
     // holds for long requests.
-    ++ask.route_priority;
-    ask.priority += request.has_team_priority ? 0 : 1;
+    ++slot_request.route_priority;
+    slot_request.priority += request.has_team_priority ? 0 : 1;
   }
-  return ask;
+  return slot_request;
 }
 
 std::optional<Duration> ForwardController::AnswerTimeQuantile(
@@ -442,8 +450,8 @@
   }
 }
 
-bool ForwardController::OnSlot(const std::string& scheduler,
-                               const SlotGrant& grant) {
+bool ForwardController::OnSlotGranted(const std::string& scheduler,
+                                      const SlotGrant& grant) {
   ForwardedRequest* request = FindByAttempt(grant.attempt);
   if (request == nullptr || request->state != State::kWaiting) {
     return false;
@@ -459,7 +467,7 @@
   // placement.
   if (!version_selector_.Admits(request->service, server->version) ||
       DecideOnCrashes(*request).kind != CrashDecision::Kind::kRun ||
-      crashes_.StandingOf(request->fingerprint) > request->standing) {
+      crashes_.SuspicionOf(request->fingerprint) > request->suspicion) {
     EndAttempt(*request, {});
     Enqueue(*request);
     return true;
@@ -474,7 +482,7 @@
                                const SlotGrant& grant) {
   const TimePoint now = clock_.Now();
   const std::string key = server.start_key();
-  log_.Info("send", {{"id", request.terms.request_id},
+  log_.Info("send", {{"id", request.metadata.request_id},
                      {"server", key},
                      {"version", server.version},
                      {"attempt", request.tried.size() + 1},
@@ -510,9 +518,9 @@
       {.server = key,
        .address = server.address,
        .bytes = EncodeRequest(head, request.body),
-       .reuse_within = request.may_repeat()
-                           ? options_.reuse_within
-                           : options_.max_non_repeatable_reuse_idle_time});
+       .max_reuse_idle_time =
+           request.may_repeat() ? options_.max_reuse_idle_time
+                                : options_.max_non_repeatable_reuse_idle_time});
 }
 
 ForwardedRequest* ForwardController::FindByAttempt(AttemptId attempt) {
@@ -524,9 +532,9 @@
                                    const SlotResult& result) {
   const AttemptId attempt = std::exchange(request.attempt, 0);
   attempts_.erase(attempt);
-  version_selector_.OnOver(request.service, request.version_attempt);
+  version_selector_.OnAttemptEnd(request.service, request.version_attempt);
   request.state = State::kWaiting;
-  slot_router_.Done(attempt, result);
+  slot_router_.ReleaseSlot(attempt, result);
 }
 
 ForwardController::HeadVerdict ForwardController::OnAnswerHead(
@@ -537,23 +545,23 @@
   if (request == nullptr) {
     return HeadVerdict::kDrop;
   }
-  const AnswerTerms terms = codec_.read_answer(head);
+  const AnswerMetadata metadata = codec_.read_answer(head);
   // A server may answer an earlier request twice, and the second copy arrives
   // where this answer is expected. The echoed id identifies the copy, which is
   // skipped; otherwise a client would get the answer to another request.
-  const bool foreign = !terms.request_id.empty() &&
-                       terms.request_id != request->terms.request_id;
+  const bool foreign = !metadata.request_id.empty() &&
+                       metadata.request_id != request->metadata.request_id;
   if (foreign) {
-    log_.Warn("foreign_answer", {{"id", request->terms.request_id},
+    log_.Warn("foreign_answer", {{"id", request->metadata.request_id},
                                  {"server", request->server},
-                                 {"answers", terms.request_id}});
+                                 {"answers", metadata.request_id}});
     return HeadVerdict::kSkip;
   }
-  const bool rejected = terms.not_run || head.status == kMisdirected;
+  const bool rejected = metadata.not_run || head.status == kMisdirected;
   const bool encoded = FindField(head.fields, "Content-Encoding") != nullptr;
   // Without an id a rejection matches only the first request on a connection.
-  const bool matched = !terms.request_id.empty() || (rejected && fresh);
-  const bool genuine = rejected || (terms.sealed && !encoded);
+  const bool matched = !metadata.request_id.empty() || (rejected && fresh);
+  const bool genuine = rejected || (metadata.sealed && !encoded);
   const bool streams =
       request->streams() && IsSuccess(head.status) && IsEventStream(head);
   // A stream of which the client has a part can only be continued by a stream.
@@ -571,7 +579,7 @@
   return HeadVerdict::kTake;
 }
 
-bool ForwardController::OnAnswerPart(AttemptId attempt, std::string bytes) {
+bool ForwardController::OnAnswerChunk(AttemptId attempt, std::string bytes) {
   ForwardedRequest* request = FindByAttempt(attempt);
   if (request == nullptr) {
     return false;
@@ -586,15 +594,15 @@
     return true;
   }
   if (request->head_sent) {
-    port_.RespondPart(request->exchange, bytes);
+    port_.RespondChunk(request->exchange, bytes);
     return true;
   }
   request->answer_body += bytes;
   if (request->answer_body.size() > options_.max_buffered_answer_bytes) {
     request->head_sent = true;
     port_.RespondHead(request->exchange, ForClient(*request->answer_head));
-    port_.RespondPart(request->exchange,
-                      std::exchange(request->answer_body, {}));
+    port_.RespondChunk(request->exchange,
+                       std::exchange(request->answer_body, {}));
   }
   return true;
 }
@@ -605,8 +613,8 @@
   while (std::optional<StreamEvent> event = request.events.Next()) {
     if (request.event_count++ == 0) {
       request.first_event_at = now;
-      version_selector_.OnFirstPart(request.service, request.version_attempt,
-                                    now - request.sent_at);
+      version_selector_.OnFirstChunk(request.service, request.version_attempt,
+                                     now - request.sent_at);
     }
     if (request.head_sent) {
       request.longest_pause =
@@ -629,7 +637,7 @@
                          std::to_string(request.priority) + "\"}",
                      ToSeconds(now - request.arrived));
   }
-  port_.RespondPart(request.exchange, passed);
+  port_.RespondChunk(request.exchange, passed);
 }
 
 void ForwardController::OnAnswerEnd(AttemptId attempt) {
@@ -661,14 +669,14 @@
     return;
   }
   if (request.tried.size() == 1) {
-    route_history_[request.route->name].sizes.OnAnswer(request.terms,
+    route_history_[request.route->name].sizes.OnAnswer(request.metadata,
                                                        request.event_count);
   }
   ReportVersionOutcome(request, /*error=*/false);
   EndAttempt(request, {.kind = SlotResult::Kind::kAnswered,
                        .pace_ms = PaceOf(request),
                        .read = PromptReadOf(request)});
-  crashes_.OnSurvived(request.fingerprint);
+  crashes_.OnServerSurvived(request.fingerprint);
   port_.RespondEnd(request.exchange);
   LogEnd(request, "answered", request.answer_head->status);
   RemoveRequest(request.exchange);
@@ -678,17 +686,17 @@
   const int status = request.answer_head->status;
   const bool error = status >= kFirstServerError;
   if (!error) {
-    crashes_.OnSurvived(request.fingerprint);
+    crashes_.OnServerSurvived(request.fingerprint);
     route_history_[request.route->name].answer_ms.Add(
         ToFractionalMilliseconds(clock_.Now() - request.sent_at));
   }
   ReportVersionOutcome(request, error);
-  EndAttempt(request, {.kind = error ? SlotResult::Kind::kErrored
+  EndAttempt(request, {.kind = error ? SlotResult::Kind::kServerError
                                      : SlotResult::Kind::kAnswered,
                        .pace_ms = PaceOf(request)});
   ++request.runs;
   if (error && !request.head_sent && MayRetry(request, RunState::kMayHaveRun)) {
-    log_.Info("retry", {{"id", request.terms.request_id},
+    log_.Info("retry", {{"id", request.metadata.request_id},
                         {"server", request.server},
                         {"status", status}});
     Enqueue(request);
@@ -712,11 +720,11 @@
   }
   version_selector_.OnAnswered(request.service, request.version_attempt);
   if (!request.answer_streams) {
-    version_selector_.OnFirstPart(request.service, request.version_attempt,
-                                  clock_.Now() - request.sent_at);
+    version_selector_.OnFirstChunk(request.service, request.version_attempt,
+                                   clock_.Now() - request.sent_at);
   } else if (const std::optional<double> pace_ms = PaceOf(request)) {
-    version_selector_.OnPace(request.service, request.version_attempt,
-                             FromMilliseconds(*pace_ms));
+    version_selector_.OnEventInterval(request.service, request.version_attempt,
+                                      FromMilliseconds(*pace_ms));
   }
 }
 
@@ -741,11 +749,11 @@
   // For a shorter prompt, the wait depends more on the network and on other
   // prompts.
   constexpr uint64_t kMinTokens = 1000;
-  if (request.event_count == 0 || request.terms.prompt_tokens < kMinTokens) {
+  if (request.event_count == 0 || request.metadata.prompt_tokens < kMinTokens) {
     return std::nullopt;
   }
   return PromptRead{
-      .tokens = static_cast<uint32_t>(request.terms.prompt_tokens),
+      .tokens = static_cast<uint32_t>(request.metadata.prompt_tokens),
       .ms = ToFractionalMilliseconds(request.first_event_at - request.sent_at)};
 }
 
@@ -761,7 +769,7 @@
                                      AttemptFailure failure) {
   const TimePoint now = clock_.Now();
   log_.Info("attempt_failed",
-            {{"id", request.terms.request_id},
+            {{"id", request.metadata.request_id},
              {"fingerprint", request.fingerprint},
              {"server", request.server},
              {"failure", AttemptFailureName(failure)},
@@ -880,8 +888,8 @@
     return;
   }
   if (request.event_count == 0 && !request.answer_head.has_value()) {
-    version_selector_.OnNothingYet(request.service, request.version_attempt,
-                                   now - request.sent_at);
+    version_selector_.OnNoAnswerYet(request.service, request.version_attempt,
+                                    now - request.sent_at);
   }
   const bool silent =
       now - request.last_received_at >= timing_.MaxSilence(request);
@@ -914,7 +922,7 @@
                                       const Refusal& refusal) {
   LogEnd(request, Describe(refusal.code).name,
          Describe(refusal.code).http_status);
-  Refuse(request.exchange, request.terms.request_id, refusal);
+  Refuse(request.exchange, request.metadata.request_id, refusal);
   RemoveRequest(request.exchange);
 }
 
@@ -958,27 +966,28 @@
       request.state == State::kWaiting && request.attempt != 0
           ? ToMilliseconds(now - request.waiting_since)
           : 0;
-  log_.Info("end",
-            {{"id", request.terms.request_id},
-             {"fingerprint", request.fingerprint},
-             {"outcome", outcome},
-             {"status", status},
-             {"route", request.route == nullptr ? "" : request.route->name},
-             {"team", request.team},
-             {"config_version", request.table->version()},
-             {"attempts", request.tried.size()},
-             {"runs", request.runs},
-             {"events", request.event_count},
-             {"prompt_tokens", request.terms.prompt_tokens},
-             {"body_bytes", request.body.size()},
-             {"most_output_tokens", request.terms.output_tokens},
-             {"expected_output_tokens", request.terms.expected_output_tokens},
-             {"server", request.server},
-             {"gate", slot_router_.GateAsked(request.attempt)},
-             {"waiting_ms", waiting_ms},
-             {"first_event_ms", first_event_ms},
-             {"longest_pause_ms", ToMilliseconds(request.longest_pause)},
-             {"took_ms", ToMilliseconds(now - request.arrived)}});
+  log_.Info(
+      "end",
+      {{"id", request.metadata.request_id},
+       {"fingerprint", request.fingerprint},
+       {"outcome", outcome},
+       {"status", status},
+       {"route", request.route == nullptr ? "" : request.route->name},
+       {"team", request.team},
+       {"config_version", request.table->version()},
+       {"attempts", request.tried.size()},
+       {"runs", request.runs},
+       {"events", request.event_count},
+       {"prompt_tokens", request.metadata.prompt_tokens},
+       {"body_bytes", request.body.size()},
+       {"most_output_tokens", request.metadata.output_tokens},
+       {"expected_output_tokens", request.metadata.expected_output_tokens},
+       {"server", request.server},
+       {"gate", slot_router_.RequestedScheduler(request.attempt)},
+       {"waiting_ms", waiting_ms},
+       {"first_event_ms", first_event_ms},
+       {"longest_pause_ms", ToMilliseconds(request.longest_pause)},
+       {"took_ms", ToMilliseconds(now - request.arrived)}});
   metrics_.Add("ended{outcome=\"" + std::string(outcome) + "\"}");
   metrics_.Observe("request_seconds", ToSeconds(now - request.arrived));
 }
@@ -1020,7 +1029,7 @@
 }
 
 void ForwardController::OnRelayedTotals(const std::string& coordinator,
-                                        const DrawTotals& totals) {
+                                        const UsageTotals& totals) {
   rates_.OnRelayedTotals(coordinator, totals, clock_.Now());
 }
 
@@ -1030,7 +1039,7 @@
 
 void ForwardController::OnPeerCount(size_t known, size_t reporting) {
   rates_.share().OnPeerCount(known, reporting, clock_.Now());
-  const size_t sharing_count = rates_.share().Entries(clock_.Now());
+  const size_t sharing_count = rates_.share().EntryCount(clock_.Now());
   if (std::exchange(sharing_entries_, sharing_count) == sharing_count) {
     return;
   }
--- a/lavenderkeel/forward/forward_controller.h
+++ b/lavenderkeel/forward/forward_controller.h
@@ -15,21 +15,21 @@
 #include "lavenderkeel/base/metrics.h"
 #include "lavenderkeel/base/result_code.h"
 #include "lavenderkeel/crash/crash_guard.h"
-#include "lavenderkeel/forward/client_age.h"
 #include "lavenderkeel/forward/forward_port.h"
 #include "lavenderkeel/forward/forwarded_request.h"
-#include "lavenderkeel/forward/high_quantile.h"
 #include "lavenderkeel/forward/long_requests.h"
-#include "lavenderkeel/forward/request_terms.h"
+#include "lavenderkeel/forward/request_age_estimator.h"
+#include "lavenderkeel/forward/request_metadata.h"
 #include "lavenderkeel/forward/request_timing.h"
 #include "lavenderkeel/forward/retry_window.h"
 #include "lavenderkeel/forward/route_table.h"
 #include "lavenderkeel/forward/server_directory.h"
 #include "lavenderkeel/forward/size_estimate.h"
-#include "lavenderkeel/forward/slot_gate.h"
 #include "lavenderkeel/forward/slot_router.h"
+#include "lavenderkeel/forward/slot_scheduler.h"
 #include "lavenderkeel/forward/team_rates.h"
-#include "lavenderkeel/rollout/rollout_guide.h"
+#include "lavenderkeel/forward/upper_quantile_estimator.h"
+#include "lavenderkeel/rollout/version_selector.h"
 
 namespace lavenderkeel {
 
@@ -38,7 +38,7 @@
   uint64_t table_version = 0;
   std::vector<ServerCount> in_flight;
   /// Rate usage by this entry's own requests.
-  DrawTotals team_totals;
+  UsageTotals team_totals;
 
   friend bool operator==(const ForwardReport&, const ForwardReport&) = default;
 };
@@ -57,7 +57,7 @@
     double retry_extra = 52;
     RequestTiming::Options timing;
     /// Idle connections to servers are reused up to this idle time.
-    Duration reuse_within = std::chrono::seconds(8);
+    Duration max_reuse_idle_time = std::chrono::seconds(8);
     /// The same for requests that may run only once: on a connection that the
     /// server is closing, it would be in doubt whether the request ran.
     Duration max_non_repeatable_reuse_idle_time =
@@ -68,7 +68,7 @@
     size_t max_buffered_answer_bytes = size_t{256} << 10;
     /// Limit for the bodies of waiting and running requests together; above it,
     /// new requests are refused. Set from the memory of the instance.
-    size_t held_body_bytes = size_t{64} << 20;
+    size_t max_buffered_body_bytes = size_t{64} << 20;
     /// A request that arrives before the first configuration waits for it for
     /// this fraction of its time left, up to the maximum.
     double unconfigured_wait_per_time_left = 0.2;
@@ -82,7 +82,7 @@
 
   /// @param slot_router receives the slot requests of this controller; the
   /// grants
-  ///     come back through OnSlot
+  ///     come back through OnSlotGranted
   /// @param crashes knows which requests crash their servers; kept by the
   ///     owner, who shares its evidence with other entries
   /// @param version_selector decides at which server versions requests may run
@@ -92,7 +92,7 @@
                     const ServerDirectory& directory,
                     SlotRouter& slot_router,
                     CrashGuard& crashes,
-                    RolloutGuide& version_selector,
+                    VersionSelector& version_selector,
                     const Clock& clock,
                     const EventLog& log,
                     Metrics& metrics);
@@ -111,11 +111,11 @@
   void OnBadRequest(ExchangeId exchange, ResultCode code);
   void OnClientGone(ExchangeId exchange);
   /// New requests are refused from now on; earlier ones are finished.
-  void RefuseNew() { refuses_new_ = true; }
+  void RejectNewRequests() { refuses_new_ = true; }
 
   /// Uses a granted slot.
   /// @return false if it is no longer wanted
-  bool OnSlot(const std::string& scheduler, const SlotGrant& grant);
+  bool OnSlotGranted(const std::string& scheduler, const SlotGrant& grant);
 
   // Servers.
   enum class HeadVerdict {
@@ -132,7 +132,7 @@
                            const ResponseHead& head,
                            bool fresh);
   /// @return false if the attempt is no longer wanted
-  bool OnAnswerPart(AttemptId attempt, std::string bytes);
+  bool OnAnswerChunk(AttemptId attempt, std::string bytes);
   void OnAnswerEnd(AttemptId attempt);
   void OnAttemptFailed(AttemptId attempt, AttemptFailure failure);
 
@@ -142,7 +142,7 @@
   void OnPeerReport(const std::string& peer, const ForwardReport& report);
   /// Records the rate usage at other entries, relayed by a coordinator.
   void OnRelayedTotals(const std::string& coordinator,
-                       const DrawTotals& totals);
+                       const UsageTotals& totals);
   void OnPeerLost(const std::string& peer);
   /// Number of entries that share the bounds, and of those that report here;
   /// both include this entry.
@@ -166,7 +166,7 @@
   struct EarlyRequest {
     RequestHead head;
     std::string body;
-    RequestTerms terms;
+    RequestMetadata metadata;
     TimePoint arrived;
     /// For the first configuration; unused once there is one.
     TimePoint waits_until;
@@ -178,7 +178,7 @@
     LongRequests long_requests;
     /// Time in milliseconds from sending a request to a plain service to the
     /// complete answer.
-    HighQuantile answer_ms;
+    UpperQuantileEstimator answer_ms;
   };
   struct Refusal {
     ResultCode code;
@@ -191,7 +191,7 @@
   void Begin(ExchangeId exchange,
              RequestHead head,
              std::string body,
-             RequestTerms terms,
+             RequestMetadata metadata,
              TimePoint arrived);
   std::optional<Refusal> Admit(ForwardedRequest& request);
   void HoldEarlyRequest(ExchangeId exchange, EarlyRequest request);
@@ -209,7 +209,7 @@
   static std::optional<Duration> AnswerTimeQuantile(
       const RouteHistory& history);
   void RecordEndOfWait(const ForwardedRequest& request, bool got_slot);
-  SlotAsk MakeSlotRequest(const ForwardedRequest& request);
+  SlotRequest MakeSlotRequest(const ForwardedRequest& request);
   void SendTo(ForwardedRequest& request,
               const BackendServer& server,
               const std::string& scheduler,
@@ -247,7 +247,7 @@
   const ServerDirectory& directory_;
   SlotRouter& slot_router_;
   CrashGuard& crashes_;
-  RolloutGuide& version_selector_;
+  VersionSelector& version_selector_;
   const Clock& clock_;
   const EventLog& log_;
   Metrics& metrics_;
@@ -257,7 +257,8 @@
   std::unordered_map<AttemptId, ExchangeId> attempts_;
   std::map<std::string, RetryWindow> retry_windows_;
   /// By route and its timeout, which limits the time that clients have left.
-  std::map<std::pair<std::string, Duration>, ClientAge> client_ages_;
+  std::map<std::pair<std::string, Duration>, RequestAgeEstimator>
+      request_age_estimators_;
   /// By route.
   std::map<std::string, RouteHistory> route_history_;
   TeamRates rates_;
--- a/lavenderkeel/forward/forward_node.cc
+++ b/lavenderkeel/forward/forward_node.cc
@@ -44,7 +44,7 @@
 /// longer.
 ObjectWatch::Options ServerWatchOptions(ObjectWatch::Options options,
                                         std::string kind) {
-  options.gather *= 2;
+  options.batch_delay *= 2;
   return WithKind(std::move(options), std::move(kind));
 }
 
@@ -82,27 +82,27 @@
           [this](const std::string& requester, const SlotGrant& grant) {
             DeliverGrant(requester, grant);
           }),
-      slot_router_(
-          WithSelf(options_.slots, self_name_),
-          directory_,
-          clock,
-          log,
-          {.ask =
-               [this](const std::string& scheduler, const SlotAsk& ask) {
-                 DeliverSlotRequest(scheduler, ask);
-               },
-           .done =
-               [this](const std::string& scheduler,
-                      AttemptId attempt,
-                      const SlotResult& result) {
-                 DeliverSlotResult(scheduler, attempt, result);
-               }}),
+      slot_router_(WithSelf(options_.slots, self_name_),
+                   directory_,
+                   clock,
+                   log,
+                   {.request_slot =
+                        [this](const std::string& scheduler,
+                               const SlotRequest& slot_request) {
+                          DeliverSlotRequest(scheduler, slot_request);
+                        },
+                    .release_slot =
+                        [this](const std::string& scheduler,
+                               AttemptId attempt,
+                               const SlotResult& result) {
+                          DeliverSlotResult(scheduler, attempt, result);
+                        }}),
       crashes_(options_.crashes,
                clock,
                log,
                metrics,
                [this](RequestFingerprint request) {
-                 return exchange_.roster().RankFor(request);
+                 return exchange_.entry_directory().RankFor(request);
                }),
       version_selector_({.bounds = options_.exposure}, directory_, clock, log),
       rollouts_({.progress = {.bounds = options_.exposure}},
@@ -151,14 +151,14 @@
     log_.Warn("peer_lost", {{"peer", peer.ToString()}});
     peers_without_store_.erase(peer);
     peers_.erase(peer.ToString());
-    slot_router_.OnGone(peer.ToString());
-    slot_scheduler_.ForgetAsker(peer.ToString());
+    slot_router_.OnSchedulerUnavailable(peer.ToString());
+    slot_scheduler_.ForgetEntry(peer.ToString());
     controller_.OnPeerLost(peer.ToString());
     exchange_.OnPeerLost(peer);
     UpdatePeerCounts();
   });
   members_.signal_leaving().connect([this](const PeerId& peer, Role) {
-    slot_router_.OnGone(peer.ToString());
+    slot_router_.OnSchedulerUnavailable(peer.ToString());
     exchange_.OnPeerLeaving(peer);
   });
   members_.signal_up().connect([this](const Member& member) {
@@ -212,7 +212,7 @@
                 exchange_.SendStatusSoon();
               },
           .on_outage = [] {},
-          .on_return = [] {}};
+          .on_recovery = [] {}};
 }
 
 std::optional<RolloutOrder> ForwardNode::ReadRollout(
@@ -235,8 +235,8 @@
   version_selector_.set_entries(counts.known);
   constexpr size_t kHalf = 2;
   rollouts_.Tick({.decides = rollout_exchange_.decider() == members_.self().id,
-                  .heard = counts.heard,
-                  .majority = counts.heard * kHalf > counts.known,
+                  .reachable_entries = counts.reporting,
+                  .majority = counts.reporting * kHalf > counts.known,
                   .store_lost = rollout_watch_.lost(),
                   .servers_listed = servers_listed_});
 }
@@ -261,7 +261,7 @@
                 }
               },
           .on_outage = [] {},
-          .on_return = [] {}};
+          .on_recovery = [] {}};
 }
 
 ObjectWatch::Hooks ForwardNode::ServerHooks() {
@@ -276,10 +276,10 @@
           .on_change =
               [this](const StoredObject& object) {
                 OnServer(object);
-                slot_scheduler_.Dispatch();
+                slot_scheduler_.GrantFreeSlots();
               },
           .on_outage = [this] { directory_.OnOutage(); },
-          .on_return = [this] { directory_.OnReturn(clock_.Now()); }};
+          .on_recovery = [this] { directory_.OnRecovery(clock_.Now()); }};
 }
 
 void ForwardNode::Read(ObjectWatch& watch,
@@ -340,7 +340,7 @@
                               {"revision", object.revision},
                               {"service", server->service},
                               {"address", server->address},
-                              {"born", server->born},
+                              {"born", server->start_time_ms},
                               {"version", server->version},
                               {"slots", server->slots},
                               {"draining", server->draining}});
@@ -359,7 +359,7 @@
   servers_listed_ = true;
   server_log_.OnList(objects);
   directory_.ApplyList(servers, clock_.Now());
-  slot_scheduler_.Dispatch();
+  slot_scheduler_.GrantFreeSlots();
 }
 
 void ForwardNode::OnServerFeed(const ServerFeed& feed) {
@@ -367,7 +367,7 @@
   if (delta.revision <= server_log_.revision()) {
     return;
   }
-  server_watch_.OnFed(delta.revision);
+  server_watch_.OnPeerUpdate(delta.revision);
   if (delta.complete) {
     OnServerList(delta.objects);
     return;
@@ -375,7 +375,7 @@
   for (const StoredObject& object : delta.objects) {
     OnServer(object);
   }
-  slot_scheduler_.Dispatch();
+  slot_scheduler_.GrantFreeSlots();
 }
 
 void ForwardNode::UpdateStoreReads() {
@@ -395,7 +395,7 @@
   if (lost) {
     directory_.OnOutage();
   } else {
-    directory_.OnReturn(clock_.Now());
+    directory_.OnRecovery(clock_.Now());
   }
 }
 
@@ -424,7 +424,7 @@
 
 void ForwardNode::OnFreeze() {
   log_.Warn("woke_up", {});
-  members_.ForgiveSilence();
+  members_.ResetSilenceTimers();
   config_watch_.Restart();
   server_watch_.Restart();
   if (options_.exposure.enabled) {
@@ -470,7 +470,7 @@
   if (member == nullptr) {
     return;
   }
-  members_.OnHeard(link);
+  members_.OnMessageReceived(link);
   std::visit(
       [&](auto& body) {
         using T = std::decay_t<decltype(body)>;
@@ -483,8 +483,8 @@
         } else if constexpr (std::is_same_v<T, HaveSlot>) {
           OnHaveSlot(*member, body);
         } else if constexpr (std::is_same_v<T, SlotEnd>) {
-          slot_scheduler_.Done(member->info.id.ToString(), body.attempt,
-                               FromWire(body));
+          slot_scheduler_.ReleaseSlot(member->info.id.ToString(), body.attempt,
+                                      FromWire(body));
         } else if constexpr (std::is_same_v<T, ServerFeed>) {
           OnServerFeed(body);
         } else if constexpr (std::is_same_v<T, CrashNews>) {
@@ -503,8 +503,8 @@
 }
 
 void ForwardNode::OnStatus(const Member& member, const ForwardStatus& status) {
-  server_watch_.OnToldBy(status.server_change);
-  rollout_watch_.OnToldBy(status.rollout_change);
+  server_watch_.OnPeerRevision(status.server_change);
+  rollout_watch_.OnPeerRevision(status.rollout_change);
   RecordStoreLost(member.info.id, status.store_lost);
   if (status.table_version > controller_.table_version() &&
       !newer_config_peer_.has_value()) {
@@ -536,15 +536,15 @@
 }
 
 void ForwardNode::DeliverSlotRequest(const std::string& scheduler,
-                                     const SlotAsk& ask) {
+                                     const SlotRequest& slot_request) {
   if (scheduler == self_name_) {
-    slot_scheduler_.Ask(self_name_, ask);
+    slot_scheduler_.RequestSlot(self_name_, slot_request);
     return;
   }
   // Without a link the slot request waits until the scheduler counts as
   // unresponsive.
   if (const std::optional<LinkId> link = LinkTo(scheduler)) {
-    outbox_.Send(*link, ToWire(ask, clock_.Now()));
+    outbox_.Send(*link, ToWire(slot_request, clock_.Now()));
   }
 }
 
@@ -552,7 +552,7 @@
                                     AttemptId attempt,
                                     const SlotResult& result) {
   if (scheduler == self_name_) {
-    slot_scheduler_.Done(self_name_, attempt, result);
+    slot_scheduler_.ReleaseSlot(self_name_, attempt, result);
     return;
   }
   if (const std::optional<LinkId> link = LinkTo(scheduler)) {
@@ -574,14 +574,15 @@
 void ForwardNode::AcceptGrant(const std::string& scheduler,
                               const SlotGrant& grant) {
   const bool wanted = slot_router_.OnGrant(scheduler, grant.attempt) &&
-                      controller_.OnSlot(scheduler, grant);
+                      controller_.OnSlotGranted(scheduler, grant);
   if (!wanted) {
     DeliverSlotResult(scheduler, grant.attempt, {});
   }
 }
 
 void ForwardNode::OnWantSlot(const Member& member, const WantSlot& want) {
-  slot_scheduler_.Ask(member.info.id.ToString(), FromWire(want, clock_.Now()));
+  slot_scheduler_.RequestSlot(member.info.id.ToString(),
+                              FromWire(want, clock_.Now()));
 }
 
 void ForwardNode::OnHaveSlot(const Member& member, const HaveSlot& have) {
@@ -619,9 +620,9 @@
 
 void ForwardNode::UpdatePeerCounts() {
   const EntryExchange::Counts counts = exchange_.Count();
-  controller_.OnPeerCount(counts.known, counts.heard);
-  SetWatchWait(
-      std::min(counts.heard, exchange_.roster().coordinators().size()));
+  controller_.OnPeerCount(counts.known, counts.reporting);
+  SetWatchWait(std::min(counts.reporting,
+                        exchange_.entry_directory().coordinators().size()));
 }
 
 void ForwardNode::SetWatchWait(size_t watchers) {
--- a/lavenderkeel/forward/forward_node.h
+++ b/lavenderkeel/forward/forward_node.h
@@ -51,7 +51,7 @@
     SlotRouter::Options slots;
     ExposureBounds exposure;
     MemberTable::Options members = {
-        .dial = {.longest = std::chrono::seconds(1)},
+        .dial = {.max = std::chrono::seconds(1)},
         // Until then the rate share and the report of a lost entry still count.
         .forget_after = std::chrono::seconds(10)};
     /// The wait applies while few other entries watch the store.
@@ -122,7 +122,8 @@
   /// Reads the store only as far as no coordinator sends its contents.
   void UpdateStoreReads();
 
-  void DeliverSlotRequest(const std::string& scheduler, const SlotAsk& ask);
+  void DeliverSlotRequest(const std::string& scheduler,
+                          const SlotRequest& slot_request);
   void DeliverSlotResult(const std::string& scheduler,
                          AttemptId attempt,
                          const SlotResult& result);
@@ -152,10 +153,10 @@
   std::string self_name_;
   ServerDirectory directory_;
   ServerLog server_log_;
-  SlotGate slot_scheduler_;
+  SlotScheduler slot_scheduler_;
   SlotRouter slot_router_;
   CrashGuard crashes_;
-  RolloutGuide version_selector_;
+  VersionSelector version_selector_;
   RolloutController rollouts_;
   RolloutExchange rollout_exchange_;
   ForwardController controller_;
@@ -164,7 +165,7 @@
   ObjectWatch server_watch_;
   /// Not started if there are no rollouts.
   ObjectWatch rollout_watch_;
-  GapDetector freeze_detector_;
+  FreezeDetector freeze_detector_;
   /// The text of the configuration in force, sent to entries that lack it.
   std::string config_content_;
   bool servers_listed_ = false;
--- a/lavenderkeel/forward/forward_port.h
+++ b/lavenderkeel/forward/forward_port.h
@@ -21,22 +21,22 @@
                        std::string_view body) = 0;
   /// Sends the head of an answer whose length is not known yet.
   virtual void RespondHead(ExchangeId exchange, const ResponseHead& head) = 0;
-  virtual void RespondPart(ExchangeId exchange, std::string_view bytes) = 0;
+  virtual void RespondChunk(ExchangeId exchange, std::string_view bytes) = 0;
   virtual void RespondEnd(ExchangeId exchange) = 0;
   /// Breaks the connection, so that a partial answer does not look complete.
   virtual void Abort(ExchangeId exchange) = 0;
 
-  struct Sending {
+  struct OutgoingRequest {
     /// The incarnation to send to; connections of no other are used.
     std::string server;
     std::string address;
     std::string bytes;
     /// An idle connection may be reused within this time of its last use; zero:
     /// only a new connection.
-    Duration reuse_within{};
+    Duration max_reuse_idle_time{};
   };
   /// Sends a request to a server.
-  virtual void Send(AttemptId attempt, Sending sending) = 0;
+  virtual void Send(AttemptId attempt, OutgoingRequest outgoing) = 0;
   /// Closes the connection; nothing more is reported for the attempt.
   virtual void Cancel(AttemptId attempt) = 0;
 };
--- a/lavenderkeel/forward/forwarded_request.h
+++ b/lavenderkeel/forward/forwarded_request.h
@@ -7,14 +7,14 @@
 #include <vector>
 
 #include "lavenderkeel/base/clock.h"
-#include "lavenderkeel/crash/crash_standing.h"
+#include "lavenderkeel/crash/crash_suspicion.h"
 #include "lavenderkeel/crash/request_fingerprint.h"
 #include "lavenderkeel/forward/attempt.h"
-#include "lavenderkeel/forward/request_terms.h"
+#include "lavenderkeel/forward/request_metadata.h"
 #include "lavenderkeel/forward/route_table.h"
 #include "lavenderkeel/http/event_stream.h"
 #include "lavenderkeel/http/message_head.h"
-#include "lavenderkeel/rollout/rollout_guide.h"
+#include "lavenderkeel/rollout/version_selector.h"
 
 namespace lavenderkeel {
 
@@ -31,7 +31,7 @@
   ExchangeId exchange = 0;
   RequestHead head;
   std::string body;
-  RequestTerms terms;
+  RequestMetadata metadata;
   /// The configuration in force on arrival; keeps `route` alive.
   std::shared_ptr<const RouteTable> table;
   const Route* route = nullptr;
@@ -56,12 +56,12 @@
   /// Waits without having asked for a slot.
   bool held = false;
   /// Crash suspicion at the time of the slot request.
-  CrashStanding standing = CrashStanding::kClear;
+  CrashSuspicion suspicion = CrashSuspicion::kClear;
 
   AttemptId attempt = 0;
   std::string server;
   /// Rollout data of the attempt that was sent last.
-  RolloutGuide::Attempt version_attempt = {};
+  VersionSelector::Attempt version_attempt = {};
   TimePoint sent_at;
   /// When the last byte arrived, or the attempt was sent.
   TimePoint last_received_at;
@@ -90,7 +90,7 @@
 
   /// It was never sent, and there is no evidence against it.
   bool fresh() const {
-    return tried.empty() && !head_sent && standing == CrashStanding::kClear;
+    return tried.empty() && !head_sent && suspicion == CrashSuspicion::kClear;
   }
   bool streams() const { return route->streaming; }
   bool may_repeat() const { return route->may_repeat(); }
--- a/lavenderkeel/forward/internal/forward_wire.cc
+++ b/lavenderkeel/forward/internal/forward_wire.cc
@@ -8,9 +8,9 @@
 namespace {
 
 /// If a peer sends lists of different lengths, the surplus is ignored.
-DrawTotals ToTotals(const std::vector<uint64_t>& teams,
-                    const std::vector<double>& drawn) {
-  DrawTotals totals;
+UsageTotals ToTotals(const std::vector<uint64_t>& teams,
+                     const std::vector<double>& drawn) {
+  UsageTotals totals;
   const size_t count = std::min(teams.size(), drawn.size());
   totals.reserve(count);
   for (size_t i = 0; i < count; ++i) {
@@ -19,7 +19,7 @@
   return totals;
 }
 
-void PutTotals(const DrawTotals& totals,
+void PutTotals(const UsageTotals& totals,
                std::vector<uint64_t>& teams,
                std::vector<double>& drawn) {
   for (const auto& [team, total] : totals) {
@@ -58,32 +58,33 @@
   return delta;
 }
 
-WantSlot ToWire(const SlotAsk& ask, TimePoint now) {
+WantSlot ToWire(const SlotRequest& slot_request, TimePoint now) {
   WantSlot want;
-  want.attempt = ask.attempt;
-  want.service = ask.service;
-  want.model_server = ask.model_server;
-  want.group = ask.group.index;
-  want.groups = ask.group.count;
-  want.priority = ask.priority;
-  want.route_priority = ask.route_priority;
+  want.attempt = slot_request.attempt;
+  want.service = slot_request.service;
+  want.model_server = slot_request.model_server;
+  want.group = slot_request.group.index;
+  want.groups = slot_request.group.count;
+  want.priority = slot_request.priority;
+  want.route_priority = slot_request.route_priority;
   // Clocks differ between machines, so a point in time is sent as the time left
   // until it.
-  want.left_us = (ask.due - now).count();
-  want.in_time_us = (ask.in_time_until - now).count();
-  want.tried = ask.tried;
-  want.prompt_tokens = ask.size.prompt_tokens;
-  want.events = ask.size.events;
-  want.gap_us = ask.event_gap_target.count();
-  want.by_length = ask.by_length;
-  want.crash_standing = static_cast<uint8_t>(ask.standing);
-  want.version = ask.version;
-  want.canary_version = ask.canary_version;
+  want.left_us = (slot_request.due - now).count();
+  want.in_time_us = (slot_request.in_time_until - now).count();
+  want.tried = slot_request.tried;
+  want.prompt_tokens = slot_request.size.prompt_tokens;
+  want.events = slot_request.size.events;
+  want.gap_us = slot_request.event_gap_target.count();
+  want.by_length = slot_request.by_length;
+  want.crash_standing = static_cast<uint8_t>(slot_request.suspicion);
+  want.version = slot_request.version;
+  want.canary_version = slot_request.canary_version;
   return want;
 }
 
-SlotAsk FromWire(const WantSlot& want, TimePoint now) {
-  constexpr auto kLastStanding = static_cast<uint8_t>(CrashStanding::kBlocked);
+SlotRequest FromWire(const WantSlot& want, TimePoint now) {
+  constexpr auto kLastSuspicion =
+      static_cast<uint8_t>(CrashSuspicion::kBlocked);
   return {.attempt = want.attempt,
           .service = want.service,
           .model_server = want.model_server,
@@ -99,8 +100,8 @@
           .by_length = want.by_length,
           .version = want.version,
           .canary_version = want.canary_version,
-          .standing = static_cast<CrashStanding>(
-              std::min(want.crash_standing, kLastStanding))};
+          .suspicion = static_cast<CrashSuspicion>(
+              std::min(want.crash_standing, kLastSuspicion))};
 }
 
 HaveSlot ToWire(const SlotGrant& grant) {
@@ -146,7 +147,7 @@
 }
 
 ForwardStatus ToWire(const ForwardReport& report,
-                     const std::vector<GateReport>& group_reports) {
+                     const std::vector<SlotGroupReport>& group_reports) {
   ForwardStatus status;
   status.table_version = report.table_version;
   for (const ServerCount& count : report.in_flight) {
@@ -154,7 +155,7 @@
     status.in_flight.push_back(static_cast<uint32_t>(count.in_flight));
   }
   PutTotals(report.team_totals, status.teams, status.drawn);
-  for (const GateReport& group_report : group_reports) {
+  for (const SlotGroupReport& group_report : group_reports) {
     auto gate_status = std::make_unique<GateStatus>();
     gate_status->service = group_report.service_hash;
     gate_status->group = group_report.group.index;
@@ -166,8 +167,8 @@
   return status;
 }
 
-std::vector<GateReport> GroupReportsFromWire(const ForwardStatus& status) {
-  std::vector<GateReport> group_reports;
+std::vector<SlotGroupReport> GroupReportsFromWire(const ForwardStatus& status) {
+  std::vector<SlotGroupReport> group_reports;
   for (const auto& gate_status : status.gates) {
     if (gate_status != nullptr) {
       group_reports.push_back(
@@ -180,11 +181,11 @@
   return group_reports;
 }
 
-void PutRelayed(const DrawTotals& relayed, ForwardStatus& status) {
+void PutRelayed(const UsageTotals& relayed, ForwardStatus& status) {
   PutTotals(relayed, status.relayed_teams, status.relayed);
 }
 
-DrawTotals RelayedFromWire(const ForwardStatus& status) {
+UsageTotals RelayedFromWire(const ForwardStatus& status) {
   return ToTotals(status.relayed_teams, status.relayed);
 }
 
--- a/lavenderkeel/forward/internal/forward_wire.h
+++ b/lavenderkeel/forward/internal/forward_wire.h
@@ -16,18 +16,18 @@
 namespace lavenderkeel::internal {
 
 ForwardStatus ToWire(const ForwardReport& report,
-                     const std::vector<GateReport>& group_reports);
+                     const std::vector<SlotGroupReport>& group_reports);
 ForwardReport FromWire(const ForwardStatus& status);
-std::vector<GateReport> GroupReportsFromWire(const ForwardStatus& status);
+std::vector<SlotGroupReport> GroupReportsFromWire(const ForwardStatus& status);
 /// Adds the rate usage that the sender relays for other entries.
-void PutRelayed(const DrawTotals& relayed, ForwardStatus& status);
-DrawTotals RelayedFromWire(const ForwardStatus& status);
+void PutRelayed(const UsageTotals& relayed, ForwardStatus& status);
+UsageTotals RelayedFromWire(const ForwardStatus& status);
 
 ServerFeed ToWire(const ObjectDelta& delta);
 ObjectDelta FromWire(const ServerFeed& feed);
 
-WantSlot ToWire(const SlotAsk& ask, TimePoint now);
-SlotAsk FromWire(const WantSlot& want, TimePoint now);
+WantSlot ToWire(const SlotRequest& slot_request, TimePoint now);
+SlotRequest FromWire(const WantSlot& want, TimePoint now);
 
 HaveSlot ToWire(const SlotGrant& grant);
 SlotGrant FromWire(const HaveSlot& have);
--- a/lavenderkeel/forward/long_requests.h
+++ b/lavenderkeel/forward/long_requests.h
@@ -35,7 +35,7 @@
     }
   }
 
-  bool GoLast() const {
+  bool ShouldGoLast() const {
     return long_granted_fraction_.empty() ||
            long_granted_fraction_.mean() >=
                options_.min_relative_granted_fraction *
--- a/lavenderkeel/forward/placement.cc
+++ b/lavenderkeel/forward/placement.cc
@@ -151,7 +151,7 @@
   return candidates;
 }
 
-Placement::Fit Placement::FitOf(const SlotAsk& request,
+Placement::Fit Placement::FitOf(const SlotRequest& request,
                                 const Candidate& candidate,
                                 TimePoint now) const {
   const double read_ms =
@@ -167,7 +167,7 @@
   return stalls ? Fit::kStallsStreams : Fit::kGood;
 }
 
-double Placement::CostWithLoad(const SlotAsk& request,
+double Placement::CostWithLoad(const SlotRequest& request,
                                const Candidate& candidate,
                                const SuspectRuns& suspects) const {
   double cost =
@@ -177,11 +177,11 @@
   if (std::ranges::find(request.tried, candidate.hash) != request.tried.end()) {
     cost *= kLastResortCostFactor * kLastResortCostFactor;
   }
-  if (suspects.ShouldAvoid(candidate.hash, request.standing)) {
+  if (suspects.ShouldAvoid(candidate.hash, request.suspicion)) {
     cost *= kRiskyCostFactor;
   }
   // If this request crashes the server, all requests there are lost.
-  if (request.standing >= CrashStanding::kDoubtful) {
+  if (request.suspicion >= CrashSuspicion::kDoubtful) {
     cost *= 1 + candidate.in_flight;
   }
   return cost;
@@ -192,7 +192,7 @@
   return version.empty() || candidate.server->version == version;
 }
 
-Placement::Candidate* Placement::ChooseCanary(const SlotAsk& request,
+Placement::Candidate* Placement::ChooseCanary(const SlotRequest& request,
                                               Candidates& candidates,
                                               const SuspectRuns& suspects,
                                               TimePoint now) const {
@@ -211,7 +211,7 @@
     }
     if (candidate.in_flight >= candidate.capacity ||
         FitOf(request, candidate, now) == Fit::kTooSlow ||
-        !suspects.Admits(candidate.hash, request.standing)) {
+        !suspects.Admits(candidate.hash, request.suspicion)) {
       continue;
     }
     const uint64_t rank = HashBytes(candidate.server->id, period);
@@ -223,7 +223,7 @@
   return best;
 }
 
-Placement::Candidate* Placement::Choose(const SlotAsk& request,
+Placement::Candidate* Placement::Choose(const SlotRequest& request,
                                         bool late,
                                         Candidates& candidates,
                                         const SuspectRuns& suspects,
@@ -248,7 +248,7 @@
     if (!MatchesVersion(request.version, candidate) ||
         candidate.in_flight >= candidate.capacity ||
         candidate.fit > worst_accepted_fit ||
-        !suspects.Admits(candidate.hash, request.standing)) {
+        !suspects.Admits(candidate.hash, request.suspicion)) {
       continue;
     }
     const double cost = CostWithLoad(request, candidate, suspects);
--- a/lavenderkeel/forward/placement.h
+++ b/lavenderkeel/forward/placement.h
@@ -106,28 +106,28 @@
   /// @param late whether the request can no longer be in time
   /// @return the best candidate with free capacity that fits the request, or
   ///     null
-  Candidate* Choose(const SlotAsk& request,
+  Candidate* Choose(const SlotRequest& request,
                     bool late,
                     Candidates& candidates,
                     const SuspectRuns& suspects,
                     TimePoint now) const;
 
  private:
-  Fit FitOf(const SlotAsk& request,
+  Fit FitOf(const SlotRequest& request,
             const Candidate& candidate,
             TimePoint now) const;
   /// Whether the candidate has the version; an empty one matches any.
   static bool MatchesVersion(const std::string& version,
                              const Candidate& candidate);
   /// @return a server of the request's canary version, or null
-  Candidate* ChooseCanary(const SlotAsk& request,
+  Candidate* ChooseCanary(const SlotRequest& request,
                           Candidates& candidates,
                           const SuspectRuns& suspects,
                           TimePoint now) const;
   int CapacityOf(const BackendServer& server, bool model_server) const;
   /// Includes the load, and the crash risk for the request and those at the
   /// server.
-  double CostWithLoad(const SlotAsk& request,
+  double CostWithLoad(const SlotRequest& request,
                       const Candidate& candidate,
                       const SuspectRuns& suspects) const;
   double BaseCost(const BackendServer& server,
--- a/lavenderkeel/forward/rate_share.h
+++ b/lavenderkeel/forward/rate_share.h
@@ -48,14 +48,14 @@
   void OnOlderPeer() { joined_ = true; }
 
   /// Whether this entry does not know the usage of the others yet.
-  bool Joining(TimePoint now) const {
+  bool IsJoining(TimePoint now) const {
     return !joined_ && now < join_deadline();
   }
   /// Time at which the joining phase is over at the latest.
   TimePoint join_deadline() const { return start_ + options_.join_time; }
 
   double ShareAt(TimePoint now) const {
-    return Joining(now)
+    return IsJoining(now)
                ? JoiningShare()
                : static_cast<double>(reporting_) / static_cast<double>(known_);
   }
@@ -72,8 +72,8 @@
   }
 
   /// Number of entries that share the limits of the fleet.
-  size_t Entries(TimePoint now) const {
-    return Joining(now) ? std::max(known_, options_.assumed_entries) : known_;
+  size_t EntryCount(TimePoint now) const {
+    return IsJoining(now) ? std::max(known_, options_.assumed_entries) : known_;
   }
 
  private:
--- a/lavenderkeel/forward/client_age.h
+++ b/lavenderkeel/forward/request_age_estimator.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_FORWARD_CLIENT_AGE_H_
-#define LAVENDERKEEL_FORWARD_CLIENT_AGE_H_
+#ifndef LAVENDERKEEL_FORWARD_REQUEST_AGE_ESTIMATOR_H_
+#define LAVENDERKEEL_FORWARD_REQUEST_AGE_ESTIMATOR_H_
 
 #include <algorithm>
 #include <cassert>
@@ -22,7 +22,7 @@
 ///
 /// All clients of a route wait about equally long, so the usual time left is
 /// that of first attempts. One instance serves one route; its size is constant.
-class ClientAge {
+class RequestAgeEstimator {
  public:
   struct Options {
     /// The usual time left is this quantile of the times left. A client comes
@@ -35,8 +35,8 @@
     double first_attempt_fraction = 0.85;
   };
 
-  ClientAge() = default;
-  explicit ClientAge(Options options) : options_(options) {}
+  RequestAgeEstimator() = default;
+  explicit RequestAgeEstimator(Options options) : options_(options) {}
 
   /// Adds a request to the estimate.
   /// @param time_left positive
@@ -83,4 +83,4 @@
 
 }  // namespace lavenderkeel
 
-#endif  // LAVENDERKEEL_FORWARD_CLIENT_AGE_H_
+#endif  // LAVENDERKEEL_FORWARD_REQUEST_AGE_ESTIMATOR_H_
--- a/lavenderkeel/forward/request_terms.h
+++ b/lavenderkeel/forward/request_metadata.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_FORWARD_REQUEST_TERMS_H_
-#define LAVENDERKEEL_FORWARD_REQUEST_TERMS_H_
+#ifndef LAVENDERKEEL_FORWARD_REQUEST_METADATA_H_
+#define LAVENDERKEEL_FORWARD_REQUEST_METADATA_H_
 
 #include <cstdint>
 #include <functional>
@@ -12,7 +12,7 @@
 namespace lavenderkeel {
 
 /// Contents of the head of a client's request, independent of the wire format.
-struct RequestTerms {
+struct RequestMetadata {
   /// Identifies one attempt of a client; echoed in every answer to it.
   std::string request_id;
   std::optional<std::string> api_key;
@@ -27,11 +27,12 @@
   /// The client resumes a stream after this event.
   std::string last_event_id;
 
-  friend bool operator==(const RequestTerms&, const RequestTerms&) = default;
+  friend bool operator==(const RequestMetadata&,
+                         const RequestMetadata&) = default;
 };
 
 /// Fields that the system adds to a request to a backend server.
-struct ServerCallTerms {
+struct ServerRequestMetadata {
   std::string server_id;
   /// Empty for a request without a team.
   std::string team;
@@ -39,12 +40,12 @@
   /// The stream resumes after this event; empty: from the start.
   std::string last_event_id;
 
-  friend bool operator==(const ServerCallTerms&,
-                         const ServerCallTerms&) = default;
+  friend bool operator==(const ServerRequestMetadata&,
+                         const ServerRequestMetadata&) = default;
 };
 
 /// Contents of the head of a server's answer, independent of the wire format.
-struct AnswerTerms {
+struct AnswerMetadata {
   /// The request that is answered; empty: not stated.
   std::string request_id;
   /// The answer carries the seal of the server.
@@ -52,20 +53,22 @@
   /// The server states that it did not run the request and never will.
   bool not_run = false;
 
-  friend bool operator==(const AnswerTerms&, const AnswerTerms&) = default;
+  friend bool operator==(const AnswerMetadata&,
+                         const AnswerMetadata&) = default;
 };
 
 /// Translates between message heads and these structures, for one wire format.
 struct ForwardCodec {
   /// Returns nothing if a required field cannot be parsed.
-  std::function<std::optional<RequestTerms>(const RequestHead&)> read_request;
-  std::function<RequestHead(const RequestHead&, const ServerCallTerms&)>
+  std::function<std::optional<RequestMetadata>(const RequestHead&)>
+      read_request;
+  std::function<RequestHead(const RequestHead&, const ServerRequestMetadata&)>
       write_request;
-  std::function<AnswerTerms(const ResponseHead&)> read_answer;
+  std::function<AnswerMetadata(const ResponseHead&)> read_answer;
   /// Header fields of an answer that this entry generates itself.
   std::function<HttpFields(const std::string& request_id)> own_answer_fields;
 };
 
 }  // namespace lavenderkeel
 
-#endif  // LAVENDERKEEL_FORWARD_REQUEST_TERMS_H_
+#endif  // LAVENDERKEEL_FORWARD_REQUEST_METADATA_H_
--- a/lavenderkeel/forward/request_timing.cc
+++ b/lavenderkeel/forward/request_timing.cc
@@ -50,7 +50,7 @@
   if (!request.model_server) {
     return Duration::zero();
   }
-  return FromMilliseconds(static_cast<double>(request.terms.prompt_tokens) /
+  return FromMilliseconds(static_cast<double>(request.metadata.prompt_tokens) /
                           options_.slow_prompt_tokens_per_ms);
 }
 
--- a/lavenderkeel/forward/rollout_exchange.h
+++ b/lavenderkeel/forward/rollout_exchange.h
@@ -18,7 +18,8 @@
 /// the same coordinators.
 class RolloutExchange {
  public:
-  RolloutExchange(RolloutController& rollouts, RolloutGuide& version_selector)
+  RolloutExchange(RolloutController& rollouts,
+                  VersionSelector& version_selector)
       : rollouts_(rollouts), version_selector_(version_selector) {}
 
   /// @param include_unchanged also counts unchanged since the last report
@@ -40,7 +41,7 @@
 
  private:
   RolloutController& rollouts_;
-  RolloutGuide& version_selector_;
+  VersionSelector& version_selector_;
   /// Plans of the coordinators that have read the orders.
   std::map<PeerId, std::vector<RolloutPlan>> coordinator_plans_;
   std::optional<PeerId> decider_;
--- a/lavenderkeel/forward/route_table.cc
+++ b/lavenderkeel/forward/route_table.cc
@@ -43,7 +43,7 @@
   for (const Service& service : content_.services) {
     services_[service.name] = &service;
   }
-  for (const TeamTerms& team : content_.teams) {
+  for (const TeamConfig& team : content_.teams) {
     teams_[team.name] = &team;
     for (const std::string& key : team.api_keys) {
       by_key_[key] = &team;
@@ -65,12 +65,12 @@
   return found == routes->second.end() ? nullptr : *found;
 }
 
-const TeamTerms* RouteTable::FindTeamByKey(const std::string& api_key) const {
+const TeamConfig* RouteTable::FindTeamByKey(const std::string& api_key) const {
   const auto found = by_key_.find(api_key);
   return found == by_key_.end() ? nullptr : found->second;
 }
 
-const TeamTerms* RouteTable::FindTeam(const std::string& name) const {
+const TeamConfig* RouteTable::FindTeam(const std::string& name) const {
   const auto found = teams_.find(name);
   return found == teams_.end() ? nullptr : found->second;
 }
--- a/lavenderkeel/forward/route_table.h
+++ b/lavenderkeel/forward/route_table.h
@@ -78,14 +78,14 @@
 };
 
 /// Settings of a team for forwarding.
-struct TeamTerms {
+struct TeamConfig {
   std::string name;
   std::vector<std::string> api_keys;
   /// Overrides the priority of the route.
   std::optional<int> priority;
   TeamRate rate;
 
-  friend bool operator==(const TeamTerms&, const TeamTerms&) = default;
+  friend bool operator==(const TeamConfig&, const TeamConfig&) = default;
 };
 
 /// Limits on what a client may send.
@@ -104,7 +104,7 @@
   uint64_t version = 0;
   std::vector<Route> routes;
   std::vector<Service> services;
-  std::vector<TeamTerms> teams;
+  std::vector<TeamConfig> teams;
   ClientLimits limits;
 
   friend bool operator==(const RouteTableContent&,
@@ -129,8 +129,8 @@
   /// @param host the Host field; a port is ignored
   /// @param target path and query
   const Route* FindRoute(std::string_view host, std::string_view target) const;
-  const TeamTerms* FindTeamByKey(const std::string& api_key) const;
-  const TeamTerms* FindTeam(const std::string& name) const;
+  const TeamConfig* FindTeamByKey(const std::string& api_key) const;
+  const TeamConfig* FindTeam(const std::string& name) const;
   const Service* FindService(const std::string& name) const;
 
   /// The priority of the most urgent routes; 0 without routes.
@@ -145,8 +145,8 @@
   int first_priority_ = 0;
   /// By host, routes with longer prefixes first.
   std::map<std::string, std::vector<const Route*>, std::less<>> by_host_;
-  std::unordered_map<std::string_view, const TeamTerms*> by_key_;
-  std::unordered_map<std::string_view, const TeamTerms*> teams_;
+  std::unordered_map<std::string_view, const TeamConfig*> by_key_;
+  std::unordered_map<std::string_view, const TeamConfig*> teams_;
   std::unordered_map<std::string_view, const Service*> services_;
 };
 
--- a/lavenderkeel/forward/server_directory.cc
+++ b/lavenderkeel/forward/server_directory.cc
@@ -60,7 +60,7 @@
   outage_ = true;
 }
 
-void ServerDirectory::OnReturn(TimePoint now) {
+void ServerDirectory::OnRecovery(TimePoint now) {
   if (std::exchange(outage_, false)) {
     outage_end_ = now;
   }
--- a/lavenderkeel/forward/server_directory.h
+++ b/lavenderkeel/forward/server_directory.h
@@ -18,7 +18,7 @@
   std::string id;
   /// Start time of this incarnation, in milliseconds of calendar time; zero if
   /// the server does not state it.
-  uint64_t born = 0;
+  uint64_t start_time_ms = 0;
   std::string service;
   std::string address;
   std::string data_centre;
@@ -35,7 +35,7 @@
   /// one, so all state of a server is kept under this key and dropped with the
   /// incarnation.
   std::string start_key() const {
-    return born == 0 ? id : id + "#" + std::to_string(born);
+    return start_time_ms == 0 ? id : id + "#" + std::to_string(start_time_ms);
   }
 
   friend bool operator==(const BackendServer&, const BackendServer&) = default;
@@ -67,7 +67,7 @@
   /// The list cannot be read; its last state stays in force.
   void OnOutage();
   /// The list can be read again.
-  void OnReturn(TimePoint now);
+  void OnRecovery(TimePoint now);
   /// Drops servers that were not listed again in time.
   void Tick(TimePoint now);
 
--- a/lavenderkeel/forward/server_load.h
+++ b/lavenderkeel/forward/server_load.h
@@ -39,7 +39,7 @@
         failure_fraction_.Add(0);
         consecutive_failures_ = 0;
         return;
-      case SlotResult::Kind::kErrored:
+      case SlotResult::Kind::kServerError:
         failure_fraction_.Add(1);
         if (failure_fraction_.mean() > options_.max_failure_fraction) {
           BackOff(now);
--- a/lavenderkeel/forward/size_estimate.h
+++ b/lavenderkeel/forward/size_estimate.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 
 #include "lavenderkeel/forward/moving_mean.h"
-#include "lavenderkeel/forward/request_terms.h"
+#include "lavenderkeel/forward/request_metadata.h"
 #include "lavenderkeel/forward/work_size.h"
 
 namespace lavenderkeel {
@@ -17,34 +17,35 @@
 class SizeEstimate {
  public:
   /// Records a complete answer with that many events.
-  void OnAnswer(const RequestTerms& terms, int events) {
+  void OnAnswer(const RequestMetadata& metadata, int events) {
     events_.Add(events);
-    if (terms.expected_output_tokens > 0) {
+    if (metadata.expected_output_tokens > 0) {
       hinted_events_.Add(events);
-      hinted_tokens_.Add(static_cast<double>(terms.expected_output_tokens));
+      hinted_tokens_.Add(static_cast<double>(metadata.expected_output_tokens));
     }
   }
 
   /// Whether the answer will be much longer than the route's average.
-  bool IsLong(const RequestTerms& terms) const {
+  bool IsLong(const RequestMetadata& metadata) const {
     return !events_.empty() &&
-           EstimateEvents(terms) > kLongEventsPerMean * events_.mean();
+           EstimateEvents(metadata) > kLongEventsPerMean * events_.mean();
   }
 
-  WorkSize Of(const RequestTerms& terms) const {
+  WorkSize EstimateFor(const RequestMetadata& metadata) const {
     return {
-        .prompt_tokens = static_cast<uint32_t>(terms.prompt_tokens),
-        .events = static_cast<uint32_t>(std::lround(EstimateEvents(terms)))};
+        .prompt_tokens = static_cast<uint32_t>(metadata.prompt_tokens),
+        .events = static_cast<uint32_t>(std::lround(EstimateEvents(metadata)))};
   }
 
  private:
-  double EstimateEvents(const RequestTerms& terms) const {
-    if (terms.expected_output_tokens == 0 || hinted_tokens_.mean() <= 0) {
+  double EstimateEvents(const RequestMetadata& metadata) const {
+    if (metadata.expected_output_tokens == 0 || hinted_tokens_.mean() <= 0) {
       return events_.mean();
     }
     const double events_per_token =
         hinted_events_.mean() / hinted_tokens_.mean();
-    return static_cast<double>(terms.expected_output_tokens) * events_per_token;
+    return static_cast<double>(metadata.expected_output_tokens) *
+           events_per_token;
   }
 
   /// Where lengths spread by a factor of 4.5 around their median, one request
--- a/lavenderkeel/forward/slot.h
+++ b/lavenderkeel/forward/slot.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "lavenderkeel/base/clock.h"
-#include "lavenderkeel/crash/crash_standing.h"
+#include "lavenderkeel/crash/crash_suspicion.h"
 #include "lavenderkeel/forward/attempt.h"
 #include "lavenderkeel/forward/work_size.h"
 
@@ -27,17 +27,18 @@
 };
 
 /// State of a group, as its scheduler reports it.
-struct GateReport {
+struct SlotGroupReport {
   uint64_t service_hash = 0;
   SlotGroup group;
   int free = 0;
   int waiting = 0;
 
-  friend bool operator==(const GateReport&, const GateReport&) = default;
+  friend bool operator==(const SlotGroupReport&,
+                         const SlotGroupReport&) = default;
 };
 
 /// Request of an entry for a slot at some server of a service.
-struct SlotAsk {
+struct SlotRequest {
   /// The attempt that needs the slot; unique within the requesting entry.
   AttemptId attempt = 0;
   std::string service;
@@ -69,9 +70,9 @@
   /// none.
   std::string canary_version = {};
   /// Evidence that the request crashes servers.
-  CrashStanding standing = CrashStanding::kClear;
+  CrashSuspicion suspicion = CrashSuspicion::kClear;
 
-  friend bool operator==(const SlotAsk&, const SlotAsk&) = default;
+  friend bool operator==(const SlotRequest&, const SlotRequest&) = default;
 };
 
 /// Slot held for an attempt until the end of the attempt is reported.
@@ -93,7 +94,7 @@
     kUnused = 0,
     kAnswered = 1,
     /// A complete answer that reports a failure of the server.
-    kErrored = 2,
+    kServerError = 2,
     /// No complete answer.
     kFailed = 3,
     /// The server had no free capacity.
