--- a/lavenderkeel/forward/slot_router.cc
+++ b/lavenderkeel/forward/slot_router.cc
@@ -18,7 +18,7 @@
       log_(log),
       hooks_(std::move(hooks)) {}
 
-void SlotRouter::Ask(SlotAsk request) {
+void SlotRouter::RequestSlot(SlotRequest request) {
   request.group = ChooseGroup(request);
   ++requests_since_report_[{HashBytes(request.service), request.group}];
   const AttemptId attempt = request.attempt;
@@ -34,11 +34,11 @@
   // Copies: a scheduler at this entry may grant at once, and the attempt may
   // end.
   const std::string scheduler = pending.scheduler;
-  const SlotAsk request = pending.request;
-  hooks_.ask(scheduler, request);
+  const SlotRequest request = pending.request;
+  hooks_.request_slot(scheduler, request);
 }
 
-SlotGroup SlotRouter::ChooseGroup(const SlotAsk& request) {
+SlotGroup SlotRouter::ChooseGroup(const SlotRequest& request) {
   const size_t servers = directory_.Usable(request.service).size();
   const auto count = static_cast<uint32_t>(
       std::max<size_t>(1, servers / MinServersPerScheduler()));
@@ -54,7 +54,7 @@
         schedulers_.find(SchedulerFor(request.service, group));
     int net_free_slots = -requests_since_report_[{service_hash, group}];
     if (scheduler != schedulers_.end()) {
-      for (const GateReport& report : scheduler->second.reports) {
+      for (const SlotGroupReport& report : scheduler->second.reports) {
         if (report.service_hash == service_hash && report.group == group) {
           net_free_slots += report.free - report.waiting;
         }
@@ -69,9 +69,9 @@
 }
 
 size_t SlotRouter::MinServersPerScheduler() const {
-  return std::max(
-      options_.min_servers_per_scheduler,
-      static_cast<size_t>(options_.min_servers_per_core * weakest_host_cores_));
+  return std::max(options_.min_servers_per_scheduler,
+                  static_cast<size_t>(options_.min_servers_per_core *
+                                      min_host_processor_share_));
 }
 
 std::string SlotRouter::SchedulerFor(const std::string& service,
@@ -109,25 +109,25 @@
   return true;
 }
 
-void SlotRouter::Done(AttemptId attempt, const SlotResult& result) {
+void SlotRouter::ReleaseSlot(AttemptId attempt, const SlotResult& result) {
   const auto found = pending_.find(attempt);
   if (found == pending_.end()) {
     return;
   }
   const std::string scheduler = found->second.scheduler;
   pending_.erase(found);
-  hooks_.done(scheduler, attempt, result);
+  hooks_.release_slot(scheduler, attempt, result);
 }
 
-std::string SlotRouter::GateAsked(AttemptId attempt) const {
+std::string SlotRouter::RequestedScheduler(AttemptId attempt) const {
   const auto found = pending_.find(attempt);
   return found == pending_.end() ? "" : found->second.scheduler;
 }
 
-void SlotRouter::OnHeard(const std::string& entry,
-                         const std::vector<GateReport>& reports) {
+void SlotRouter::OnReport(const std::string& entry,
+                          const std::vector<SlotGroupReport>& reports) {
   schedulers_[entry] = {.last_report_time = clock_.Now(), .reports = reports};
-  for (const GateReport& report : reports) {
+  for (const SlotGroupReport& report : reports) {
     requests_since_report_.erase({report.service_hash, report.group});
   }
 }
@@ -136,7 +136,7 @@
   Resend(entry);
 }
 
-void SlotRouter::OnGone(const std::string& entry) {
+void SlotRouter::OnSchedulerUnavailable(const std::string& entry) {
   if (schedulers_.erase(entry) > 0) {
     Resend(entry);
   }
--- a/lavenderkeel/forward/slot_router.h
+++ b/lavenderkeel/forward/slot_router.h
@@ -42,11 +42,12 @@
   };
 
   struct Hooks {
-    std::function<void(const std::string& scheduler, const SlotAsk&)> ask;
+    std::function<void(const std::string& scheduler, const SlotRequest&)>
+        request_slot;
     std::function<void(const std::string& scheduler,
                        AttemptId attempt,
                        const SlotResult&)>
-        done;
+        release_slot;
   };
 
   SlotRouter(Options options,
@@ -56,46 +57,48 @@
              Hooks hooks);
 
   /// Requests a slot and chooses the group for it.
-  void Ask(SlotAsk request);
+  void RequestSlot(SlotRequest request);
   /// @return false if no waiting request matches the grant; the slot is then
   ///     returned unused
   bool OnGrant(const std::string& scheduler, AttemptId attempt);
   /// Ends the attempt, granted or not.
-  void Done(AttemptId attempt, const SlotResult& result);
+  void ReleaseSlot(AttemptId attempt, const SlotResult& result);
   /// Scheduler that last received the attempt's slot request; empty if none
   /// did.
-  std::string GateAsked(AttemptId attempt) const;
+  std::string RequestedScheduler(AttemptId attempt) const;
 
   /// Handles a report of an entry that may host schedulers.
-  void OnHeard(const std::string& entry,
-               const std::vector<GateReport>& reports);
+  void OnReport(const std::string& entry,
+                const std::vector<SlotGroupReport>& reports);
   /// Sends waiting requests again after a reconnect, since messages on the
   /// former connection may be lost.
   void OnReconnected(const std::string& entry);
   /// Whether this entry hosts schedulers. If not, another one that reports
   /// does.
-  void set_hosts_gates(bool hosts) { hosts_schedulers_ = hosts; }
+  void set_hosts_schedulers(bool hosts) { hosts_schedulers_ = hosts; }
   /// Processor share of the weakest entry that hosts schedulers, in cores.
-  void set_weakest_host(double cores) { weakest_host_cores_ = cores; }
+  void set_min_host_processor_share(double cores) {
+    min_host_processor_share_ = cores;
+  }
   /// From now on another entry hosts the schedulers, if there is one.
   void set_leaving() { leaving_ = true; }
   /// Handles an entry that is leaving or lost.
-  void OnGone(const std::string& entry);
+  void OnSchedulerUnavailable(const std::string& entry);
   /// Moves waiting requests away from unresponsive schedulers.
   void Tick();
 
  private:
   struct Pending {
-    SlotAsk request;
+    SlotRequest request;
     std::string scheduler;
     bool granted = false;
   };
   struct SchedulerState {
     TimePoint last_report_time;
-    std::vector<GateReport> reports;
+    std::vector<SlotGroupReport> reports;
   };
 
-  SlotGroup ChooseGroup(const SlotAsk& request);
+  SlotGroup ChooseGroup(const SlotRequest& request);
   size_t MinServersPerScheduler() const;
   std::string SchedulerFor(const std::string& service,
                            const SlotGroup& group) const;
@@ -116,7 +119,7 @@
   std::map<std::pair<uint64_t, SlotGroup>, int> requests_since_report_;
   uint32_t round_robin_ = 0;
   bool hosts_schedulers_ = true;
-  double weakest_host_cores_ = 0;
+  double min_host_processor_share_ = 0;
   bool leaving_ = false;
 };
 
--- a/lavenderkeel/forward/slot_gate.cc
+++ b/lavenderkeel/forward/slot_scheduler.cc
@@ -1,4 +1,4 @@
-#include "lavenderkeel/forward/slot_gate.h"
+#include "lavenderkeel/forward/slot_scheduler.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,17 +7,18 @@
 
 namespace lavenderkeel {
 
-SlotGate::SlotGate(Options options,
-                   const ServerDirectory& directory,
-                   const Clock& clock,
-                   OnGrant on_grant)
+SlotScheduler::SlotScheduler(Options options,
+                             const ServerDirectory& directory,
+                             const Clock& clock,
+                             OnGrant on_grant)
     : options_(std::move(options)),
       directory_(directory),
       clock_(clock),
       on_grant_(std::move(on_grant)),
       placement_(options_.placement) {}
 
-void SlotGate::Ask(const std::string& entry, const SlotAsk& request) {
+void SlotScheduler::RequestSlot(const std::string& entry,
+                                const SlotRequest& request) {
   const AttemptKey id = {entry, request.attempt};
   last_request_times_[QueueKeyOf(request)] = clock_.Now();
   // The entry asks again after a reconnect: the slot that it has is offered
@@ -35,8 +36,9 @@
   DispatchService(request.service);
 }
 
-SlotGate::QueuePosition SlotGate::PositionOf(const AttemptKey& id,
-                                             const SlotAsk& request) const {
+SlotScheduler::QueuePosition SlotScheduler::PositionOf(
+    const AttemptKey& id,
+    const SlotRequest& request) const {
   const TimePoint now = clock_.Now();
   const bool late = now >= request.in_time_until;
   if (!late && !request.model_server) {
@@ -58,7 +60,7 @@
       .attempt = id};
 }
 
-Duration SlotGate::LengthPenalty(const SlotAsk& request) const {
+Duration SlotScheduler::LengthPenalty(const SlotRequest& request) const {
   const auto found = speeds_.find(request.service);
   if (found == speeds_.end() || !request.by_length) {
     return Duration::zero();
@@ -69,7 +71,7 @@
                           request.size.events * speed.pace_ms().value_or(0));
 }
 
-void SlotGate::DemoteLateRequests() {
+void SlotScheduler::DemoteLateRequests() {
   // In a burst that exceeds the capacity for some seconds, first come, first
   // served makes every request of the rank late. In this order as many requests
   // as there are slots are in time, and late requests, which are still useful,
@@ -86,7 +88,7 @@
   }
 }
 
-void SlotGate::Remove(const AttemptKey& id) {
+void SlotScheduler::Remove(const AttemptKey& id) {
   const auto found = waiting_by_attempt_.find(id);
   if (found == waiting_by_attempt_.end()) {
     return;
@@ -97,9 +99,9 @@
   waiting_by_attempt_.erase(found);
 }
 
-void SlotGate::Done(const std::string& entry,
-                    AttemptId attempt,
-                    const SlotResult& result) {
+void SlotScheduler::ReleaseSlot(const std::string& entry,
+                                AttemptId attempt,
+                                const SlotResult& result) {
   const AttemptKey id = {entry, attempt};
   Remove(id);
   const auto granted = grants_.find(id);
@@ -116,18 +118,18 @@
   }
 }
 
-void SlotGate::OnReport(const std::string& entry,
-                        const std::vector<ServerCount>& counts) {
+void SlotScheduler::OnReport(const std::string& entry,
+                             const std::vector<ServerCount>& counts) {
   // A coordinator receives a thousand reports a second, few of which free a
   // slot.
   const bool slot_freed = occupancy_.SetReport(entry, counts);
   const bool grants_lost = VoidLostGrants(entry);
   if (slot_freed || grants_lost) {
-    Dispatch();
+    GrantFreeSlots();
   }
 }
 
-bool SlotGate::VoidLostGrants(const std::string& entry) {
+bool SlotScheduler::VoidLostGrants(const std::string& entry) {
   // A connection can break with a grant or the end of an attempt in transit,
   // which would leave an unused slot reserved forever. The entry's reports show
   // its actual requests; grants in excess of these that are old enough to be
@@ -154,12 +156,13 @@
   return !lost_grants.empty();
 }
 
-SlotGate::Grants::iterator SlotGate::EraseGrant(Grants::iterator grant) {
+SlotScheduler::Grants::iterator SlotScheduler::EraseGrant(
+    Grants::iterator grant) {
   suspects_.Remove(HashBytes(grant->second.server), grant->second.suspicion);
   return grants_.erase(grant);
 }
 
-void SlotGate::ForgetAsker(const std::string& entry) {
+void SlotScheduler::ForgetEntry(const std::string& entry) {
   occupancy_.Forget(entry);
   for (auto grant = grants_.lower_bound({entry, 0});
        grant != grants_.end() && grant->first.first == entry;) {
@@ -174,10 +177,10 @@
   for (const AttemptKey& id : attempts) {
     Remove(id);
   }
-  Dispatch();
+  GrantFreeSlots();
 }
 
-void SlotGate::Dispatch() {
+void SlotScheduler::GrantFreeSlots() {
   // A grant may end at once and re-enter this function; the outer call
   // continues.
   if (std::exchange(dispatching_, true)) {
@@ -190,7 +193,7 @@
   dispatching_ = false;
 }
 
-void SlotGate::DispatchService(const std::string& service) {
+void SlotScheduler::DispatchService(const std::string& service) {
   if (std::exchange(dispatching_, true)) {
     return;
   }
@@ -202,7 +205,7 @@
   dispatching_ = false;
 }
 
-void SlotGate::Tick() {
+void SlotScheduler::Tick() {
   std::erase_if(queues_, [](const auto& item) { return item.second.empty(); });
   std::erase_if(last_request_times_, [this](const auto& item) {
     return clock_.Now() - item.second > options_.group_expiry;
@@ -210,11 +213,11 @@
   std::erase_if(loads_, [this](const auto& item) {
     return directory_.Find(item.first) == nullptr;
   });
-  Dispatch();
+  GrantFreeSlots();
 }
 
-void SlotGate::DispatchQueue(const QueueKey& key,
-                             std::set<QueuePosition>& queue) {
+void SlotScheduler::DispatchQueue(const QueueKey& key,
+                                  std::set<QueuePosition>& queue) {
   if (queue.empty()) {
     return;
   }
@@ -245,7 +248,7 @@
   }
 }
 
-void SlotGate::Grant(const AttemptKey& id, const BackendServer& server) {
+void SlotScheduler::Grant(const AttemptKey& id, const BackendServer& server) {
   const std::string key = server.start_key();
   const uint64_t hash = HashBytes(key);
   const ServerLoad& load = loads_[key];
@@ -253,7 +256,7 @@
                            .server = key,
                            .in_flight = occupancy_.InFlight(hash),
                            .pace_ms = load.speed().pace_ms().value_or(0)};
-  const CrashStanding suspicion = waiting_by_attempt_.at(id).request.standing;
+  const CrashSuspicion suspicion = waiting_by_attempt_.at(id).request.suspicion;
   Remove(id);
   grants_[id] = {
       .server = key, .granted_at = clock_.Now(), .suspicion = suspicion};
@@ -262,8 +265,8 @@
   on_grant_(id.first, grant);
 }
 
-std::vector<GateReport> SlotGate::Reports() const {
-  std::vector<GateReport> reports;
+std::vector<SlotGroupReport> SlotScheduler::Reports() const {
+  std::vector<SlotGroupReport> reports;
   for (const auto& [key, last_request_time] : last_request_times_) {
     reports.push_back(
         {.service_hash = HashBytes(key.service),
@@ -274,14 +277,14 @@
   return reports;
 }
 
-size_t SlotGate::waiting(const std::string& service,
-                         const SlotGroup& group) const {
+size_t SlotScheduler::waiting(const std::string& service,
+                              const SlotGroup& group) const {
   const auto found = queues_.find({.service = service, .group = group});
   return found == queues_.end() ? 0 : found->second.size();
 }
 
-int SlotGate::FreeCapacity(const std::string& service,
-                           const SlotGroup& group) const {
+int SlotScheduler::FreeCapacity(const std::string& service,
+                                const SlotGroup& group) const {
   return placement_
       .Find(service, /*model_server=*/true, group, directory_, loads_,
             occupancy_, clock_.Now())
--- a/lavenderkeel/forward/slot_gate.h
+++ b/lavenderkeel/forward/slot_scheduler.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_FORWARD_SLOT_GATE_H_
-#define LAVENDERKEEL_FORWARD_SLOT_GATE_H_
+#ifndef LAVENDERKEEL_FORWARD_SLOT_SCHEDULER_H_
+#define LAVENDERKEEL_FORWARD_SLOT_SCHEDULER_H_
 
 #include <compare>
 #include <cstdint>
@@ -42,7 +42,7 @@
 /// Its state need not last: an entry whose scheduler is lost asks another one,
 /// which starts from the entries' reports. At-most-once execution does not
 /// depend on it.
-class SlotGate {
+class SlotScheduler {
  public:
   struct Options {
     Placement::Options placement;
@@ -60,30 +60,30 @@
     Duration group_expiry = std::chrono::seconds(2);
   };
 
-  /// Delivers a grant. May call Done and Ask re-entrantly.
+  /// Delivers a grant. May call ReleaseSlot and RequestSlot re-entrantly.
   using OnGrant =
       std::function<void(const std::string& entry, const SlotGrant& grant)>;
 
-  SlotGate(Options options,
-           const ServerDirectory& directory,
-           const Clock& clock,
-           OnGrant on_grant);
+  SlotScheduler(Options options,
+                const ServerDirectory& directory,
+                const Clock& clock,
+                OnGrant on_grant);
 
-  void Ask(const std::string& entry, const SlotAsk& request);
+  void RequestSlot(const std::string& entry, const SlotRequest& request);
   /// Ends the attempt, granted or not.
-  void Done(const std::string& entry,
-            AttemptId attempt,
-            const SlotResult& result);
+  void ReleaseSlot(const std::string& entry,
+                   AttemptId attempt,
+                   const SlotResult& result);
   void OnReport(const std::string& entry,
                 const std::vector<ServerCount>& counts);
-  void ForgetAsker(const std::string& entry);
+  void ForgetEntry(const std::string& entry);
   /// Grants free slots, as after a change of the servers or as time passes.
-  void Dispatch();
+  void GrantFreeSlots();
   /// Drops the state of removed servers and of unused groups, and dispatches.
   void Tick();
 
   /// Reports on the groups with recent slot requests.
-  std::vector<GateReport> Reports() const;
+  std::vector<SlotGroupReport> Reports() const;
   size_t waiting(const std::string& service, const SlotGroup& group) const;
   /// Free capacity at healthy servers of the group.
   int FreeCapacity(const std::string& service, const SlotGroup& group) const;
@@ -109,25 +109,26 @@
                             const QueuePosition&) = default;
   };
   struct WaitingRequest {
-    SlotAsk request;
+    SlotRequest request;
     QueuePosition position;
   };
   struct ActiveGrant {
     std::string server;
     TimePoint granted_at;
-    CrashStanding suspicion = CrashStanding::kClear;
+    CrashSuspicion suspicion = CrashSuspicion::kClear;
   };
   using Grants = std::map<AttemptKey, ActiveGrant>;
 
-  static QueueKey QueueKeyOf(const SlotAsk& request) {
+  static QueueKey QueueKeyOf(const SlotRequest& request) {
     return {.service = request.service, .group = request.group};
   }
-  QueuePosition PositionOf(const AttemptKey& id, const SlotAsk& request) const;
+  QueuePosition PositionOf(const AttemptKey& id,
+                           const SlotRequest& request) const;
   /// Moves requests that can no longer be in time behind those that still can.
   void DemoteLateRequests();
   /// Estimated time that the request will hold its slot; zero if unknown or not
   /// ordered by length.
-  Duration LengthPenalty(const SlotAsk& request) const;
+  Duration LengthPenalty(const SlotRequest& request) const;
   /// Grants free slots of one service.
   void DispatchService(const std::string& service);
   void DispatchQueue(const QueueKey& key, std::set<QueuePosition>& queue);
@@ -161,4 +162,4 @@
 
 }  // namespace lavenderkeel
 
-#endif  // LAVENDERKEEL_FORWARD_SLOT_GATE_H_
+#endif  // LAVENDERKEEL_FORWARD_SLOT_SCHEDULER_H_
--- a/lavenderkeel/forward/suspect_runs.h
+++ b/lavenderkeel/forward/suspect_runs.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <unordered_map>
 
-#include "lavenderkeel/crash/crash_standing.h"
+#include "lavenderkeel/crash/crash_suspicion.h"
 
 namespace lavenderkeel {
 
@@ -16,22 +16,22 @@
 /// loses its server.
 class SuspectRuns {
  public:
-  void Add(uint64_t server, CrashStanding suspicion) {
-    if (suspicion == CrashStanding::kClear) {
+  void Add(uint64_t server, CrashSuspicion suspicion) {
+    if (suspicion == CrashSuspicion::kClear) {
       return;
     }
     Count& count = servers_[server];
     ++count.all;
-    count.doubtful += suspicion >= CrashStanding::kDoubtful ? 1 : 0;
+    count.doubtful += suspicion >= CrashSuspicion::kDoubtful ? 1 : 0;
   }
 
   /// Reverts Add.
-  void Remove(uint64_t server, CrashStanding suspicion) {
+  void Remove(uint64_t server, CrashSuspicion suspicion) {
     const auto found = servers_.find(server);
-    if (suspicion == CrashStanding::kClear || found == servers_.end()) {
+    if (suspicion == CrashSuspicion::kClear || found == servers_.end()) {
       return;
     }
-    found->second.doubtful -= suspicion >= CrashStanding::kDoubtful ? 1 : 0;
+    found->second.doubtful -= suspicion >= CrashSuspicion::kDoubtful ? 1 : 0;
     if (--found->second.all <= 0) {
       servers_.erase(found);
     }
@@ -39,18 +39,18 @@
 
   /// Whether a request of that suspicion may run at the server beside those
   /// there.
-  bool Admits(uint64_t server, CrashStanding suspicion) const {
+  bool Admits(uint64_t server, CrashSuspicion suspicion) const {
     const Count count = CountAt(server);
-    return suspicion >= CrashStanding::kDoubtful  ? count.all == 0
-           : suspicion == CrashStanding::kSuspect ? count.doubtful == 0
-                                                  : true;
+    return suspicion >= CrashSuspicion::kDoubtful  ? count.all == 0
+           : suspicion == CrashSuspicion::kSuspect ? count.doubtful == 0
+                                                   : true;
   }
 
   /// Whether the request should prefer another server.
-  bool ShouldAvoid(uint64_t server, CrashStanding suspicion) const {
+  bool ShouldAvoid(uint64_t server, CrashSuspicion suspicion) const {
     const Count count = CountAt(server);
-    return suspicion == CrashStanding::kClear ? count.doubtful > 0
-                                              : count.all > 0;
+    return suspicion == CrashSuspicion::kClear ? count.doubtful > 0
+                                               : count.all > 0;
   }
 
   bool empty() const { return servers_.empty(); }
--- a/lavenderkeel/forward/team_rates.cc
+++ b/lavenderkeel/forward/team_rates.cc
@@ -14,12 +14,13 @@
 
 }  // namespace
 
-std::optional<TeamRates::Shortage> TeamRates::Take(const TeamTerms& team,
+std::optional<TeamRates::Shortage> TeamRates::Take(const TeamConfig& team,
                                                    double units,
                                                    TimePoint now) {
-  TeamBucket& bucket = BucketOf(HashBytes(team.name));
-  const TeamRate target = TeamBucket::TargetRate(team.rate, options_.tolerance);
-  const bool is_joining = share_.Joining(now);
+  TeamTokenBucket& bucket = BucketOf(HashBytes(team.name));
+  const TeamRate target =
+      TeamTokenBucket::TargetRate(team.rate, options_.tolerance);
+  const bool is_joining = share_.IsJoining(now);
   std::optional<Duration> wait;
   if (!is_joining) {
     wait = bucket.Take(target, units, share_.ShareAt(now), now);
@@ -36,8 +37,8 @@
                   .share = share_.ShareAt(now)};
 }
 
-DrawTotals TeamRates::totals() const {
-  DrawTotals totals;
+UsageTotals TeamRates::totals() const {
+  UsageTotals totals;
   for (const auto& [team, bucket] : buckets_) {
     if (bucket.used() > 0) {
       totals.emplace_back(team, bucket.used());
@@ -47,25 +48,25 @@
 }
 
 void TeamRates::OnPeerTotals(const std::string& peer,
-                             const DrawTotals& totals,
+                             const UsageTotals& totals,
                              TimePoint now) {
-  CountTotals(peer, totals, TeamBucket::FirstTotal::kLongRunning, now);
+  CountTotals(peer, totals, TeamTokenBucket::FirstTotal::kLongRunning, now);
 }
 
 void TeamRates::OnRelayedTotals(const std::string& coordinator,
-                                const DrawTotals& totals,
+                                const UsageTotals& totals,
                                 TimePoint now) {
   CountTotals(RelayName(coordinator), totals,
-              TeamBucket::FirstTotal::kAlreadyCounted, now);
+              TeamTokenBucket::FirstTotal::kAlreadyCounted, now);
 }
 
 void TeamRates::CountTotals(const std::string& source,
-                            const DrawTotals& totals,
-                            TeamBucket::FirstTotal first_total_after_join,
+                            const UsageTotals& totals,
+                            TeamTokenBucket::FirstTotal first_total_after_join,
                             TimePoint now) {
-  const TeamBucket::FirstTotal first =
-      share_.Joining(now) ? TeamBucket::FirstTotal::kStartedTogether
-                          : first_total_after_join;
+  const TeamTokenBucket::FirstTotal first =
+      share_.IsJoining(now) ? TeamTokenBucket::FirstTotal::kStartedTogether
+                            : first_total_after_join;
   for (const auto& [team, total] : totals) {
     BucketOf(team).OnPeerTotal(source, total, first);
   }
@@ -78,8 +79,8 @@
   }
 }
 
-TeamBucket& TeamRates::BucketOf(uint64_t team) {
-  const TeamBucket::Tolerance& tolerance = options_.tolerance;
+TeamTokenBucket& TeamRates::BucketOf(uint64_t team) {
+  const TeamTokenBucket::Tolerance& tolerance = options_.tolerance;
   const double initial_level =
       tolerance.slack * (1 - tolerance.used_fraction_of_slack);
   return buckets_.try_emplace(team, start_, initial_level).first->second;
--- a/lavenderkeel/forward/team_rates.h
+++ b/lavenderkeel/forward/team_rates.h
@@ -7,10 +7,10 @@
 #include <string>
 
 #include "lavenderkeel/base/clock.h"
-#include "lavenderkeel/forward/draw_relay.h"
 #include "lavenderkeel/forward/rate_share.h"
 #include "lavenderkeel/forward/route_table.h"
-#include "lavenderkeel/forward/team_bucket.h"
+#include "lavenderkeel/forward/team_token_bucket.h"
+#include "lavenderkeel/forward/usage_relay.h"
 
 namespace lavenderkeel {
 
@@ -18,7 +18,7 @@
 class TeamRates {
  public:
   struct Options {
-    TeamBucket::Tolerance tolerance;
+    TeamTokenBucket::Tolerance tolerance;
     RateShare::Options share;
   };
 
@@ -41,18 +41,18 @@
 
   /// Takes the units from the team's rate.
   /// @return nothing if the units were available
-  std::optional<Shortage> Take(const TeamTerms& team,
+  std::optional<Shortage> Take(const TeamConfig& team,
                                double units,
                                TimePoint now);
 
   /// Units that this entry let through, for reports to the others.
-  DrawTotals totals() const;
+  UsageTotals totals() const;
   void OnPeerTotals(const std::string& peer,
-                    const DrawTotals& totals,
+                    const UsageTotals& totals,
                     TimePoint now);
   /// Counts the usage of other entries that a coordinator relays.
   void OnRelayedTotals(const std::string& coordinator,
-                       const DrawTotals& totals,
+                       const UsageTotals& totals,
                        TimePoint now);
   /// Forgets the peer; of a coordinator also the usage that it relayed.
   void ForgetPeer(const std::string& peer);
@@ -64,16 +64,16 @@
   /// @param first_total_after_join how the first total of a source counts,
   ///     unless this entry is still joining
   void CountTotals(const std::string& source,
-                   const DrawTotals& totals,
-                   TeamBucket::FirstTotal first_total_after_join,
+                   const UsageTotals& totals,
+                   TeamTokenBucket::FirstTotal first_total_after_join,
                    TimePoint now);
-  TeamBucket& BucketOf(uint64_t team);
+  TeamTokenBucket& BucketOf(uint64_t team);
 
   Options options_;
   TimePoint start_;
   RateShare share_;
   /// By the hash of the team's name.
-  std::map<uint64_t, TeamBucket> buckets_;
+  std::map<uint64_t, TeamTokenBucket> buckets_;
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/forward/team_bucket.h
+++ b/lavenderkeel/forward/team_token_bucket.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_FORWARD_TEAM_BUCKET_H_
-#define LAVENDERKEEL_FORWARD_TEAM_BUCKET_H_
+#ifndef LAVENDERKEEL_FORWARD_TEAM_TOKEN_BUCKET_H_
+#define LAVENDERKEEL_FORWARD_TEAM_TOKEN_BUCKET_H_
 
 #include <algorithm>
 #include <map>
@@ -18,7 +18,7 @@
 /// exceed the bound by what arrives in that time; the bound's tolerance covers
 /// it. An entry without reports from some of the others refills only its share,
 /// so that partitioned entries cannot spend the rate several times over.
-class TeamBucket {
+class TeamTokenBucket {
  public:
   /// Tolerated excess over a rate, and how much of it is used.
   ///
@@ -35,11 +35,11 @@
   };
 
   /// Creates a full bucket.
-  TeamBucket() = default;
+  TeamTokenBucket() = default;
   /// Creates the bucket of an entry that started at `start`. The team's usage
   /// before the start is unknown and may have emptied the bucket.
   /// @param level units that all entries at once may let through nevertheless
-  TeamBucket(TimePoint start, double level)
+  TeamTokenBucket(TimePoint start, double level)
       : level_(level),
         last_fill_(start),
         initial_level_(level),
@@ -157,4 +157,4 @@
 
 }  // namespace lavenderkeel
 
-#endif  // LAVENDERKEEL_FORWARD_TEAM_BUCKET_H_
+#endif  // LAVENDERKEEL_FORWARD_TEAM_TOKEN_BUCKET_H_
--- a/lavenderkeel/forward/high_quantile.h
+++ b/lavenderkeel/forward/upper_quantile_estimator.h
@@ -1,11 +1,11 @@
-#ifndef LAVENDERKEEL_FORWARD_HIGH_QUANTILE_H_
-#define LAVENDERKEEL_FORWARD_HIGH_QUANTILE_H_
+#ifndef LAVENDERKEEL_FORWARD_UPPER_QUANTILE_ESTIMATOR_H_
+#define LAVENDERKEEL_FORWARD_UPPER_QUANTILE_ESTIMATOR_H_
 
 namespace lavenderkeel {
 
 /// Estimate of the value that some six in seven of the latest samples lie
 /// below, for positive values: a high duration that is not an outlier.
-class HighQuantile {
+class UpperQuantileEstimator {
  public:
   void Add(double sample) {
     if (empty_) {
@@ -32,4 +32,4 @@
 
 }  // namespace lavenderkeel
 
-#endif  // LAVENDERKEEL_FORWARD_HIGH_QUANTILE_H_
+#endif  // LAVENDERKEEL_FORWARD_UPPER_QUANTILE_ESTIMATOR_H_
--- a/lavenderkeel/forward/draw_relay.h
+++ b/lavenderkeel/forward/usage_relay.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_FORWARD_DRAW_RELAY_H_
-#define LAVENDERKEEL_FORWARD_DRAW_RELAY_H_
+#ifndef LAVENDERKEEL_FORWARD_USAGE_RELAY_H_
+#define LAVENDERKEEL_FORWARD_USAGE_RELAY_H_
 
 #include <cstdint>
 #include <map>
@@ -13,7 +13,7 @@
 namespace lavenderkeel {
 
 /// Units used since an entry's start, by the hash of the team's name.
-using DrawTotals = std::vector<std::pair<uint64_t, double>>;
+using UsageTotals = std::vector<std::pair<uint64_t, double>>;
 
 /// Usage that a coordinator relays between the entries that report to it.
 ///
@@ -21,12 +21,12 @@
 /// coordinator each, which adds it up: a report is as long as the list of
 /// teams, however many entries there are. The sums only grow, so what was lost
 /// with a connection is in the next full report.
-class DrawRelay {
+class UsageRelay {
  public:
   /// @param is_relay whether this coordinator relays for the entry now; usage
   ///     before the entry's first report here, or while another one relayed, is
   ///     not counted
-  void OnTotals(const PeerId& entry, const DrawTotals& totals, bool is_relay) {
+  void OnTotals(const PeerId& entry, const UsageTotals& totals, bool is_relay) {
     const auto [position, inserted] = entries_.try_emplace(entry.instance);
     Entry& source = position->second;
     const bool is_first = inserted || source.incarnation != entry.incarnation;
@@ -49,9 +49,9 @@
   }
 
   /// Totals for one entry, without its own usage, which it counts itself.
-  /// @param all whether to include teams unchanged since the last EndRound
-  DrawTotals For(const PeerId& entry, bool all) const {
-    DrawTotals totals;
+  /// @param all whether to include teams unchanged since the last ClearChanges
+  UsageTotals TotalsFor(const PeerId& entry, bool all) const {
+    UsageTotals totals;
     for (const auto& [team, sum] : relayed_sums_) {
       if (all || changed_teams_.contains(team)) {
         totals.emplace_back(team, sum - Relayed(entry, team));
@@ -61,7 +61,7 @@
   }
 
   /// Clears the set of changes, after all entries received them.
-  void EndRound() { changed_teams_.clear(); }
+  void ClearChanges() { changed_teams_.clear(); }
 
  private:
   struct TeamUsage {
@@ -93,4 +93,4 @@
 
 }  // namespace lavenderkeel
 
-#endif  // LAVENDERKEEL_FORWARD_DRAW_RELAY_H_
+#endif  // LAVENDERKEEL_FORWARD_USAGE_RELAY_H_
--- a/lavenderkeel/gate.h
+++ b/lavenderkeel/gate.h
@@ -4,7 +4,7 @@
 #define LAVENDERKEEL_GATE_H_
 
 #include "lavenderkeel/gate/agent_node.h"
-#include "lavenderkeel/gate/answer_feed.h"
+#include "lavenderkeel/gate/answer_subscriptions.h"
 #include "lavenderkeel/gate/gate_controller.h"
 #include "lavenderkeel/gate/run_controller.h"
 #include "lavenderkeel/gate/run_table.h"
--- a/lavenderkeel/gate/agent_node.cc
+++ b/lavenderkeel/gate/agent_node.cc
@@ -47,7 +47,7 @@
           clock,
           random_,
           platform_),
-      gap_(options_.members.heartbeat_timeout) {
+      freeze_detector_(options_.members.heartbeat_timeout) {
   gate_.signal_unreachable().connect([this] { members_.AnnounceNow(); });
   members_.signal_link_dropped().connect(
       [this](LinkId link) { gate_.OnLinkDown(link); });
@@ -87,15 +87,15 @@
       json::object{{"fence", fence + 1}, {"incarnation", own}});
 }
 
-void AgentNode::CheckGap() {
-  if (gap_.Check(clock_.Now())) {
+void AgentNode::CheckForFreeze() {
+  if (freeze_detector_.Check(clock_.Now())) {
     log_.Warn("gap_noticed", {{"instance", members_.self().id.instance}});
-    members_.ForgiveSilence();
+    members_.ResetSilenceTimers();
   }
 }
 
 void AgentNode::Tick() {
-  CheckGap();
+  CheckForFreeze();
   members_.Tick();
   registration_.Tick();
   fence_update_.Tick();
@@ -105,12 +105,12 @@
 bool AgentNode::OnLinkUp(LinkId link,
                          const InstanceInfo& peer,
                          const std::string& dialed) {
-  CheckGap();
+  CheckForFreeze();
   return members_.OnLinkUp(link, peer, dialed);
 }
 
 void AgentNode::OnLinkDown(LinkId link) {
-  CheckGap();
+  CheckForFreeze();
   members_.OnLinkDown(link);
 }
 
@@ -119,14 +119,14 @@
 }
 
 void AgentNode::OnMessage(LinkId link, Message message) {
-  CheckGap();
+  CheckForFreeze();
   const Member* peer = members_.FindByLink(link);
   if (peer == nullptr) {
     // The link was replaced by a newer one to the same peer; messages on it are
     // stale.
     return;
   }
-  members_.OnHeard(link);
+  members_.OnMessageReceived(link);
   std::visit(
       [this, link](auto& body) {
         using T = std::decay_t<decltype(body)>;
--- a/lavenderkeel/gate/agent_node.h
+++ b/lavenderkeel/gate/agent_node.h
@@ -60,7 +60,7 @@
   uint64_t fence() const { return fence_; }
 
  private:
-  void CheckGap();
+  void CheckForFreeze();
   std::optional<std::string> NextFence(
       const std::optional<std::string>& present);
 
@@ -74,7 +74,7 @@
   GateController gate_;
   Registration registration_;
   ConditionalUpdate fence_update_;
-  GapDetector gap_;
+  FreezeDetector freeze_detector_;
   uint64_t fence_ = 0;
   bool leaving_ = false;
   TimePoint left_at_;
--- a/lavenderkeel/gate/answer_feed.cc
+++ b/lavenderkeel/gate/answer_subscriptions.cc
@@ -1,4 +1,4 @@
-#include "lavenderkeel/gate/answer_feed.h"
+#include "lavenderkeel/gate/answer_subscriptions.h"
 
 #include <algorithm>
 
@@ -6,16 +6,17 @@
 
 namespace lavenderkeel {
 
-AnswerFeed::ReaderId AnswerFeed::MakeId(LinkId link,
-                                        uint64_t subscription,
-                                        const RequestKey& key) {
+AnswerSubscriptions::ReaderId AnswerSubscriptions::MakeId(
+    LinkId link,
+    uint64_t subscription,
+    const RequestKey& key) {
   return {link, {subscription, subscription == 0 ? key : RequestKey()}};
 }
 
-void AnswerFeed::Subscribe(LinkId link,
-                           uint64_t subscription,
-                           const RequestKey& key,
-                           uint64_t offset) {
+void AnswerSubscriptions::Subscribe(LinkId link,
+                                    uint64_t subscription,
+                                    const RequestKey& key,
+                                    uint64_t offset) {
   const ReaderId id = MakeId(link, subscription, key);
   const auto [position, inserted] = readers_.try_emplace(id);
   position->second = {.key = key, .sent = offset, .acked = offset};
@@ -25,7 +26,9 @@
   OnProgress(key);
 }
 
-void AnswerFeed::Ack(LinkId link, uint64_t subscription, uint64_t offset) {
+void AnswerSubscriptions::Ack(LinkId link,
+                              uint64_t subscription,
+                              uint64_t offset) {
   const auto found = readers_.find(MakeId(link, subscription, {}));
   if (found == readers_.end()) {
     return;
@@ -35,7 +38,7 @@
   OnProgress(RequestKey(reader.key));
 }
 
-void AnswerFeed::Unsubscribe(LinkId link, uint64_t subscription) {
+void AnswerSubscriptions::Unsubscribe(LinkId link, uint64_t subscription) {
   const auto found = readers_.find(MakeId(link, subscription, {}));
   if (found == readers_.end()) {
     return;
@@ -50,21 +53,22 @@
   readers_.erase(found);
 }
 
-void AnswerFeed::DropLink(LinkId link) {
+void AnswerSubscriptions::DropLink(LinkId link) {
   std::erase_if(by_key_,
                 [link](const auto& item) { return item.second.first == link; });
   std::erase_if(readers_,
                 [link](const auto& item) { return item.first.first == link; });
 }
 
-bool AnswerFeed::HasReadersBesides(LinkId link, const RequestKey& key) const {
+bool AnswerSubscriptions::HasReadersBesides(LinkId link,
+                                            const RequestKey& key) const {
   const auto [first, last] = by_key_.equal_range(key);
   return std::any_of(first, last, [link](const auto& item) {
     return item.second.first != link;
   });
 }
 
-void AnswerFeed::OnProgress(const RequestKey& key) {
+void AnswerSubscriptions::OnProgress(const RequestKey& key) {
   auto [position, last] = by_key_.equal_range(key);
   while (position != last) {
     const auto reader = readers_.find(position->second);
@@ -77,7 +81,7 @@
   }
 }
 
-bool AnswerFeed::SendAvailable(const ReaderId& id, Reader& reader) {
+bool AnswerSubscriptions::SendAvailable(const ReaderId& id, Reader& reader) {
   const auto& [link, name] = id;
   const uint64_t subscription = name.first;
   const Run* run = runs_.Find(reader.key);
--- a/lavenderkeel/gate/answer_feed.h
+++ b/lavenderkeel/gate/answer_subscriptions.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_GATE_ANSWER_FEED_H_
-#define LAVENDERKEEL_GATE_ANSWER_FEED_H_
+#ifndef LAVENDERKEEL_GATE_ANSWER_SUBSCRIPTIONS_H_
+#define LAVENDERKEEL_GATE_ANSWER_SUBSCRIPTIONS_H_
 
 #include <map>
 #include <utility>
@@ -15,12 +15,13 @@
 /// At most kWindowBytes of an answer are unacknowledged per subscriber, so that
 /// a slow caller costs the entry one window of memory instead of the whole
 /// answer.
-class AnswerFeed {
+class AnswerSubscriptions {
  public:
   static constexpr size_t kWindowBytes = size_t{256} << 10;
   static constexpr size_t kMaxChunkBytes = size_t{64} << 10;
 
-  AnswerFeed(RunTable& runs, Outbox& outbox) : runs_(runs), outbox_(outbox) {}
+  AnswerSubscriptions(RunTable& runs, Outbox& outbox)
+      : runs_(runs), outbox_(outbox) {}
 
   /// Subscription 0 is a control subscription: it receives only the end.
   void Subscribe(LinkId link,
@@ -60,4 +61,4 @@
 
 }  // namespace lavenderkeel
 
-#endif  // LAVENDERKEEL_GATE_ANSWER_FEED_H_
+#endif  // LAVENDERKEEL_GATE_ANSWER_SUBSCRIPTIONS_H_
--- a/lavenderkeel/gate/gate_controller.cc
+++ b/lavenderkeel/gate/gate_controller.cc
@@ -20,7 +20,7 @@
       outbox_(outbox),
       queue_(options.queue),
       runs_(options.runs),
-      feed_(runs_, outbox),
+      subscriptions_(runs_, outbox),
       server_(
           options.server,
           clock,
@@ -29,7 +29,7 @@
           metrics,
           outbox,
           runs_,
-          feed_,
+          subscriptions_,
           [this] {
             StartReady();
             OfferSlots();
@@ -41,7 +41,7 @@
             ReturnUnstarted(ResultCode::kServerUnreachable);
           }) {
   runs_.set_in_use(
-      [this](const RequestKey& key) { return feed_.HasReaders(key); });
+      [this](const RequestKey& key) { return subscriptions_.HasReaders(key); });
 }
 
 std::optional<PeerId> GateController::PeerOf(LinkId link) const {
@@ -157,9 +157,9 @@
   Started started;
   started.key = go.key;
   outbox_.Send(link, started);
-  feed_.Subscribe(link, 0, key, 0);
+  subscriptions_.Subscribe(link, 0, key, 0);
   if (go.subscription != 0) {
-    feed_.Subscribe(link, go.subscription, key, 0);
+    subscriptions_.Subscribe(link, go.subscription, key, 0);
   }
 }
 
@@ -179,7 +179,7 @@
       started.key = attach.key;
       outbox_.Send(link, started);
     }
-    feed_.Subscribe(link, attach.subscription, key, attach.offset);
+    subscriptions_.Subscribe(link, attach.subscription, key, attach.offset);
     return;
   }
   if (run == nullptr && runs_.MayHaveForgotten(key)) {
@@ -216,11 +216,11 @@
 }
 
 void GateController::OnAck(LinkId link, const Ack& ack) {
-  feed_.Ack(link, ack.subscription, ack.offset);
+  subscriptions_.Ack(link, ack.subscription, ack.offset);
 }
 
 void GateController::OnDetach(LinkId link, const Detach& detach) {
-  feed_.Unsubscribe(link, detach.subscription);
+  subscriptions_.Unsubscribe(link, detach.subscription);
 }
 
 void GateController::OnCancel(LinkId link, const Cancel& cancel) {
@@ -229,7 +229,7 @@
   if (run == nullptr) {
     return;
   }
-  if (!cancel.by_caller && feed_.HasReadersBesides(link, key)) {
+  if (!cancel.by_caller && subscriptions_.HasReadersBesides(link, key)) {
     // A caller at another entry waits for the same answer.
     return;
   }
@@ -277,7 +277,7 @@
 }
 
 void GateController::OnLinkDown(LinkId link) {
-  feed_.DropLink(link);
+  subscriptions_.DropLink(link);
   const std::optional<PeerId> peer = PeerOf(link);
   if (!peer.has_value()) {
     return;
@@ -350,7 +350,7 @@
     if (next == nullptr) {
       return;
     }
-    const Reservation taken = queue_.Take(next->id());
+    const Reservation taken = queue_.Dequeue(next->id());
     const Member* entry = members_.Find(taken.entry);
     // A restarted entry doesn't know the reservations of its former
     // incarnation.
@@ -432,14 +432,15 @@
 }
 
 bool GateController::Idle() const {
-  return server_.occupied_slots() == 0 && ready_.empty() && !feed_.HasReaders();
+  return server_.occupied_slots() == 0 && ready_.empty() &&
+         !subscriptions_.HasReaders();
 }
 
 void GateController::FillLoad(Heartbeat& heartbeat) const {
   constexpr uint32_t kTiersReported = 16;
   server_.FillLoad(heartbeat);
   for (uint32_t tier = 0; tier < kTiersReported; ++tier) {
-    const auto waiting = static_cast<uint32_t>(queue_.waiting(tier));
+    const auto waiting = static_cast<uint32_t>(queue_.waiting_count(tier));
     if (waiting > 0) {
       heartbeat.waiting.resize(tier + 1);
       heartbeat.waiting[tier] = waiting;
--- a/lavenderkeel/gate/gate_controller.h
+++ b/lavenderkeel/gate/gate_controller.h
@@ -12,7 +12,7 @@
 #include "lavenderkeel/base/clock.h"
 #include "lavenderkeel/base/event_log.h"
 #include "lavenderkeel/base/metrics.h"
-#include "lavenderkeel/gate/answer_feed.h"
+#include "lavenderkeel/gate/answer_subscriptions.h"
 #include "lavenderkeel/gate/run_controller.h"
 #include "lavenderkeel/gate/run_table.h"
 #include "lavenderkeel/membership/member_table.h"
@@ -109,7 +109,7 @@
   Outbox& outbox_;
   ReservationQueue queue_;
   RunTable runs_;
-  AnswerFeed feed_;
+  AnswerSubscriptions subscriptions_;
   RunController server_;
   std::map<ReservationId, Offered> offered_;
   std::map<uint64_t, RequestKey> ready_;
--- a/lavenderkeel/gate/run_controller.cc
+++ b/lavenderkeel/gate/run_controller.cc
@@ -17,7 +17,7 @@
                              Metrics& metrics,
                              Outbox& outbox,
                              RunTable& runs,
-                             AnswerFeed& feed,
+                             AnswerSubscriptions& subscriptions,
                              std::function<void()> on_slot_free,
                              std::function<void()> on_unreachable)
     : options_(options),
@@ -27,7 +27,7 @@
       metrics_(metrics),
       outbox_(outbox),
       runs_(runs),
-      feed_(feed),
+      subscriptions_(subscriptions),
       on_slot_free_(std::move(on_slot_free)),
       on_unreachable_(std::move(on_unreachable)),
       limit_(options.in_flight),
@@ -105,7 +105,7 @@
     Finish(key, ResultCode::kAnswerTooLarge);
     return;
   }
-  feed_.OnProgress(key);
+  subscriptions_.OnProgress(key);
 }
 
 void RunController::OnServerFinish(RunId id, std::string_view finish_json) {
@@ -153,8 +153,8 @@
   Finish(key, ResultCode::kAnswered);
 }
 
-void RunController::UpdateReachability(ServerEnd end) {
-  if (end != ServerEnd::kUnreachable) {
+void RunController::UpdateReachability(ServerDisconnect end) {
+  if (end != ServerDisconnect::kUnreachable) {
     return;
   }
   const bool first = !reachability_.IsRefusing();
@@ -166,7 +166,7 @@
   }
 }
 
-void RunController::OnServerEnd(RunId id, ServerEnd end) {
+void RunController::OnServerDisconnect(RunId id, ServerDisconnect end) {
   UpdateReachability(end);
   Run* run = runs_.FindByRun(id);
   if (run == nullptr || run->state != Run::State::kRunning) {
@@ -174,19 +174,20 @@
   }
   const RequestKey key = *runs_.KeyOf(id);
   const bool nothing_received = run->next_index == 0 && run->resumes == 0;
-  if (end == ServerEnd::kUnreachable && nothing_received) {
+  if (end == ServerDisconnect::kUnreachable && nothing_received) {
     Finish(key, ResultCode::kServerUnreachable);
     return;
   }
   run->unreachable_resumes =
-      end == ServerEnd::kUnreachable ? run->unreachable_resumes + 1 : 0;
+      end == ServerDisconnect::kUnreachable ? run->unreachable_resumes + 1 : 0;
   if (HasEngineEnded(*run, end)) {
     metrics_.Add("wasted_prefill_tokens{cause=\"server_crashed\"}",
                  run->reservation.prompt_tokens);
     Finish(key, ResultCode::kServerCrashed);
     return;
   }
-  const bool resumable = !run->go.service && end != ServerEnd::kRefused &&
+  const bool resumable = !run->go.service &&
+                         end != ServerDisconnect::kRefused &&
                          run->resumes < options_.max_resumes;
   if (!resumable) {
     metrics_.Add("wasted_prefill_tokens{cause=\"server_failed\"}",
@@ -203,12 +204,12 @@
       kInitialBackoff * (1 << std::min(run->resumes, kMaxDoublings));
 }
 
-bool RunController::HasEngineEnded(const Run& run, ServerEnd end) const {
+bool RunController::HasEngineEnded(const Run& run, ServerDisconnect end) const {
   if (run.go.service || run.resumes == 0) {
     return false;
   }
   // An engine that doesn't know a stream that it ran has restarted since.
-  return end == ServerEnd::kRefused ||
+  return end == ServerDisconnect::kRefused ||
          run.unreachable_resumes >= options_.refusals_until_ended;
 }
 
@@ -256,7 +257,7 @@
     running_.erase(id);
     runs_.UnbindRun(id);
   }
-  feed_.OnProgress(key);
+  subscriptions_.OnProgress(key);
   const bool may_run_again =
       Describe(code).outcome == Outcome::kNotRun || run.reservation.repeatable;
   if (code != ResultCode::kAnswered && run.reservation.repeatable) {
--- a/lavenderkeel/gate/run_controller.h
+++ b/lavenderkeel/gate/run_controller.h
@@ -8,7 +8,7 @@
 #include "lavenderkeel/action.h"
 #include "lavenderkeel/admission.h"
 #include "lavenderkeel/base.h"
-#include "lavenderkeel/gate/answer_feed.h"
+#include "lavenderkeel/gate/answer_subscriptions.h"
 #include "lavenderkeel/gate/run_table.h"
 #include "lavenderkeel/gate/server_reachability.h"
 #include "lavenderkeel/membership/instance_info.h"
@@ -17,7 +17,7 @@
 
 /// How a run's connection to the backend server ended before the answer was
 /// complete.
-enum class ServerEnd {
+enum class ServerDisconnect {
   /// No connection was established, so nothing ran.
   kUnreachable,
   /// The connection broke; the run may continue at the server.
@@ -53,7 +53,7 @@
                 Metrics& metrics,
                 Outbox& outbox,
                 RunTable& runs,
-                AnswerFeed& feed,
+                AnswerSubscriptions& subscriptions,
                 std::function<void()> on_slot_free,
                 std::function<void()> on_unreachable);
 
@@ -72,7 +72,7 @@
                       int status,
                       std::string_view content_type,
                       std::string_view body);
-  void OnServerEnd(RunId run, ServerEnd end);
+  void OnServerDisconnect(RunId run, ServerDisconnect end);
   /// The server confirmed that a cancelled run has ended, or can't be reached.
   void OnServerCancelled(RunId run);
 
@@ -92,9 +92,9 @@
   void Resume(RunId id, Run& run);
   /// Whether the engine has ended, judging by how it ended a stream. Always
   /// false for a plain service, whose answers can't be resumed.
-  bool HasEngineEnded(const Run& run, ServerEnd end) const;
+  bool HasEngineEnded(const Run& run, ServerDisconnect end) const;
   void ResumeStalledStreams(TimePoint now);
-  void UpdateReachability(ServerEnd end);
+  void UpdateReachability(ServerDisconnect end);
   const Run* FindCheapestVictim(uint32_t tier) const;
 
   Options options_;
@@ -104,7 +104,7 @@
   Metrics& metrics_;
   Outbox& outbox_;
   RunTable& runs_;
-  AnswerFeed& feed_;
+  AnswerSubscriptions& subscriptions_;
   std::function<void()> on_slot_free_;
   std::function<void()> on_unreachable_;
   InFlightLimit limit_;
--- a/lavenderkeel/io/client_port.cc
+++ b/lavenderkeel/io/client_port.cc
@@ -263,7 +263,7 @@
   bufferevent_write(connection->events, bytes.data(), bytes.size());
 }
 
-void ClientPort::RespondPart(ExchangeId exchange, std::string_view part) {
+void ClientPort::RespondChunk(ExchangeId exchange, std::string_view part) {
   if (Connection* connection = FindExchange(exchange)) {
     const std::string bytes = EncodeChunk(part);
     bufferevent_write(connection->events, bytes.data(), bytes.size());
--- a/lavenderkeel/io/client_port.h
+++ b/lavenderkeel/io/client_port.h
@@ -53,7 +53,7 @@
                const ResponseHead& head,
                std::string_view body);
   void RespondHead(ExchangeId exchange, const ResponseHead& head);
-  void RespondPart(ExchangeId exchange, std::string_view bytes);
+  void RespondChunk(ExchangeId exchange, std::string_view bytes);
   void RespondEnd(ExchangeId exchange);
   void Abort(ExchangeId exchange);
 
--- a/lavenderkeel/io/entry_daemon.cc
+++ b/lavenderkeel/io/entry_daemon.cc
@@ -37,7 +37,7 @@
                },
            .on_too_large =
                [this](CallerId caller) {
-                 callers_.Handle(CallerFeed::ErrorReply(
+                 callers_.Handle(CallerSubscriptions::ErrorReply(
                      caller, ResultCode::kBodyTooLarge,
                      std::string(Describe(ResultCode::kBodyTooLarge).message),
                      "", Duration::zero()));
@@ -130,9 +130,9 @@
       peers_.Handle(action);
     } else if constexpr (std::is_same_v<T, PlatformCall>) {
       platform_.Handle(action);
-    } else if constexpr (std::is_same_v<T, ReplyWhole> ||
+    } else if constexpr (std::is_same_v<T, ReplyComplete> ||
                          std::is_same_v<T, ReplyHead> ||
-                         std::is_same_v<T, ReplyData> ||
+                         std::is_same_v<T, ReplyChunk> ||
                          std::is_same_v<T, ReplyEnd> ||
                          std::is_same_v<T, ReplyAbort>) {
       callers_.Handle(std::move(action));
--- a/lavenderkeel/io/forward_daemon.cc
+++ b/lavenderkeel/io/forward_daemon.cc
@@ -52,15 +52,15 @@
   void RespondHead(ExchangeId exchange, const ResponseHead& head) override {
     daemon_.clients_.RespondHead(exchange, head);
   }
-  void RespondPart(ExchangeId exchange, std::string_view bytes) override {
-    daemon_.clients_.RespondPart(exchange, bytes);
+  void RespondChunk(ExchangeId exchange, std::string_view bytes) override {
+    daemon_.clients_.RespondChunk(exchange, bytes);
   }
   void RespondEnd(ExchangeId exchange) override {
     daemon_.clients_.RespondEnd(exchange);
   }
   void Abort(ExchangeId exchange) override { daemon_.clients_.Abort(exchange); }
-  void Send(AttemptId attempt, Sending sending) override {
-    daemon_.upstream_.Send(attempt, sending);
+  void Send(AttemptId attempt, OutgoingRequest outgoing) override {
+    daemon_.upstream_.Send(attempt, outgoing);
   }
   void Cancel(AttemptId attempt) override { daemon_.upstream_.Cancel(attempt); }
 
@@ -117,8 +117,8 @@
                },
            .on_chunk =
                [this](AttemptId attempt, std::string bytes) {
-                 return node_.controller().OnAnswerPart(attempt,
-                                                        std::move(bytes));
+                 return node_.controller().OnAnswerChunk(attempt,
+                                                         std::move(bytes));
                },
            .on_end =
                [this](AttemptId attempt) {
@@ -219,7 +219,7 @@
   }
   if (!std::exchange(closed_, true)) {
     log_.Info("closing", {{"open", node_.controller().open()}});
-    node_.controller().RefuseNew();
+    node_.controller().RejectNewRequests();
     clients_.StopListening();
   }
   clients_.CloseIdle();
@@ -230,7 +230,7 @@
 }
 
 void ForwardDaemon::OnStatusRequest(const HttpRequest& request) {
-  ReplyWhole reply{.caller = request.id};
+  ReplyComplete reply{.caller = request.id};
   constexpr int kNotFound = 404;
   constexpr int kUnavailable = 503;
   if (request.path == "/metrics") {
--- a/lavenderkeel/io/forward_settings.cc
+++ b/lavenderkeel/io/forward_settings.cc
@@ -21,7 +21,7 @@
 void ReadSeconds(JsonReader& reader,
                  const std::string& name,
                  Duration& target) {
-  const double seconds = reader.Real(name, ToSeconds(target));
+  const double seconds = reader.PositiveNumber(name, ToSeconds(target));
   if (seconds <= 0) {
     reader.Fault(name, "must be above zero");
     return;
@@ -36,7 +36,7 @@
   settings.listen_peers = ReadAddress(listen, "peers");
   settings.self.address = ReadAddress(listen, "advertise", /*required=*/false);
   settings.ready_path =
-      listen.String("ready_path", {.otherwise = settings.ready_path});
+      listen.String("ready_path", {.default_value = settings.ready_path});
   listen.RejectUnknown();
 }
 
@@ -48,11 +48,11 @@
     // Socket buffers hold the same bytes up to twice, in addition to the copy
     // kept for a retry, and the process itself needs about 20 MB.
     constexpr uint64_t kBodyMemoryDivisor = 6;
-    settings.node.controller.held_body_bytes =
+    settings.node.controller.max_buffered_body_bytes =
         (memory_mb << 20) / kBodyMemoryDivisor;
   }
   settings.self.processor_share =
-      limits.Real("processor_share", settings.self.processor_share);
+      limits.PositiveNumber("processor_share", settings.self.processor_share);
   if (settings.self.processor_share <= 0) {
     limits.Fault("processor_share", "must be above zero");
   }
@@ -65,12 +65,12 @@
   ForwardController::Options& controller = settings.node.controller;
   ReadSeconds(bounds, "retry_window_s", controller.retries.window);
   controller.retries.ratio =
-      bounds.NonNegative("retry_ratio", controller.retries.ratio);
+      bounds.NonNegativeNumber("retry_ratio", controller.retries.ratio);
   controller.retry_extra =
-      bounds.NonNegative("retry_extra", controller.retry_extra);
-  TeamBucket::Tolerance& tolerance = controller.rates.tolerance;
-  tolerance.over = bounds.NonNegative("rate_over", tolerance.over);
-  tolerance.slack = bounds.NonNegative("rate_slack", tolerance.slack);
+      bounds.NonNegativeNumber("retry_extra", controller.retry_extra);
+  TeamTokenBucket::Tolerance& tolerance = controller.rates.tolerance;
+  tolerance.over = bounds.NonNegativeNumber("rate_over", tolerance.over);
+  tolerance.slack = bounds.NonNegativeNumber("rate_slack", tolerance.slack);
   bounds.RejectUnknown();
 }
 
@@ -85,8 +85,8 @@
   JsonReader exposure(ObjectOrEmpty(reader, "exposure"), "/exposure", faults);
   ExposureBounds& bounds = settings.node.exposure;
   bounds.enabled = true;
-  bounds.share = exposure.NonNegative("share", bounds.share);
-  bounds.slack = exposure.NonNegative("slack", bounds.slack);
+  bounds.share = exposure.NonNegativeNumber("share", bounds.share);
+  bounds.slack = exposure.NonNegativeNumber("slack", bounds.slack);
   if (bounds.share > 1) {
     exposure.Fault("share", "must be at most 1");
   }
@@ -100,9 +100,9 @@
   ReadDuration(tuning, "watch_wait_ms", node.watch.wait);
   Placement::Options& placement = node.placement;
   placement.places_per_slot =
-      tuning.Real("places_per_slot", placement.places_per_slot);
-  placement.places_per_plain_slot =
-      tuning.Real("places_per_plain_slot", placement.places_per_plain_slot);
+      tuning.PositiveNumber("places_per_slot", placement.places_per_slot);
+  placement.places_per_plain_slot = tuning.PositiveNumber(
+      "places_per_plain_slot", placement.places_per_plain_slot);
   tuning.RejectUnknown();
 }
 
--- a/lavenderkeel/io/http_server.cc
+++ b/lavenderkeel/io/http_server.cc
@@ -236,7 +236,7 @@
       &exchange);
 }
 
-void HttpServer::Handle(ReplyWhole reply) {
+void HttpServer::Handle(ReplyComplete reply) {
   Exchange* exchange = FindOpen(reply.caller);
   if (exchange == nullptr) {
     return;
@@ -257,7 +257,7 @@
   }
 }
 
-void HttpServer::Handle(const ReplyData& reply) {
+void HttpServer::Handle(const ReplyChunk& reply) {
   Exchange* exchange = FindOpen(reply.caller);
   if (exchange == nullptr) {
     return;
--- a/lavenderkeel/io/http_server.h
+++ b/lavenderkeel/io/http_server.h
@@ -61,9 +61,9 @@
   /// Stops accepting connections.
   void StopListening();
 
-  void Handle(ReplyWhole reply);
+  void Handle(ReplyComplete reply);
   void Handle(const ReplyHead& reply);
-  void Handle(const ReplyData& reply);
+  void Handle(const ReplyChunk& reply);
   void Handle(const ReplyEnd& reply);
   void Handle(const ReplyAbort& reply);
 
--- a/lavenderkeel/io/internal/settings_fields.cc
+++ b/lavenderkeel/io/internal/settings_fields.cc
@@ -16,7 +16,7 @@
 
 const json::value& ObjectOrEmpty(JsonReader& reader, const std::string& name) {
   static const json::value empty = json::object();
-  const json::value* value = reader.Raw(name);
+  const json::value* value = reader.FindField(name);
   return value == nullptr ? empty : *value;
 }
 
@@ -35,14 +35,14 @@
                   Duration& target,
                   uint64_t min_ms) {
   const uint64_t milliseconds = reader.Number(
-      name, {.otherwise = static_cast<uint64_t>(ToMilliseconds(target)),
-             .least = min_ms,
-             .most = kDayMs});
+      name, {.default_value = static_cast<uint64_t>(ToMilliseconds(target)),
+             .min = min_ms,
+             .max = kDayMs});
   target = std::chrono::milliseconds(milliseconds);
 }
 
 LogLevel ReadLogLevel(JsonReader& log) {
-  const std::string level = log.String("level", {.otherwise = "info"});
+  const std::string level = log.String("level", {.default_value = "info"});
   if (level == "debug") {
     return LogLevel::kDebug;
   }
--- a/lavenderkeel/io/internal/settings_fields.h
+++ b/lavenderkeel/io/internal/settings_fields.h
@@ -35,9 +35,9 @@
                uint64_t least = 1) {
   constexpr uint64_t kMost = 1'000'000'000;
   target = static_cast<Number>(
-      reader.Number(name, {.otherwise = static_cast<uint64_t>(target),
-                           .least = least,
-                           .most = kMost}));
+      reader.Number(name, {.default_value = static_cast<uint64_t>(target),
+                           .min = least,
+                           .max = kMost}));
 }
 
 /// Reads the field "level" of the object "log".
--- a/lavenderkeel/io/server_client.cc
+++ b/lavenderkeel/io/server_client.cc
@@ -108,9 +108,9 @@
     const bool refused =
         result.kind == HttpResult::Kind::kAnswered && result.status != kOk;
     const bool not_sent = result.kind == HttpResult::Kind::kNotSent;
-    runs_.OnServerEnd(run, refused    ? ServerEnd::kRefused
-                           : not_sent ? ServerEnd::kUnreachable
-                                      : ServerEnd::kBroken);
+    runs_.OnServerDisconnect(run, refused    ? ServerDisconnect::kRefused
+                                  : not_sent ? ServerDisconnect::kUnreachable
+                                             : ServerDisconnect::kBroken);
   }
   execute_actions_();
 }
@@ -131,9 +131,9 @@
       runs_.OnServiceReply(run, result.status, result.content_type,
                            result.body);
     } else {
-      runs_.OnServerEnd(run, result.kind == HttpResult::Kind::kNotSent
-                                 ? ServerEnd::kUnreachable
-                                 : ServerEnd::kBroken);
+      runs_.OnServerDisconnect(run, result.kind == HttpResult::Kind::kNotSent
+                                        ? ServerDisconnect::kUnreachable
+                                        : ServerDisconnect::kBroken);
     }
     execute_actions_();
   };
--- a/lavenderkeel/io/settings.cc
+++ b/lavenderkeel/io/settings.cc
@@ -39,7 +39,7 @@
   ReadDuration(tuning, "entry_heartbeat_period_ms",
                members.entry_heartbeat_period);
   ReadDuration(tuning, "heartbeat_timeout_ms", members.heartbeat_timeout);
-  ReadDuration(tuning, "dial_longest_ms", members.dial.longest);
+  ReadDuration(tuning, "dial_longest_ms", members.dial.max);
   const Duration max_period =
       std::max(members.heartbeat_period, members.entry_heartbeat_period);
   if (members.heartbeat_timeout < 2 * max_period) {
@@ -54,22 +54,22 @@
   ReadCount(tuning, "agents_per_entry", node.members.agents_per_entry);
   ReadCount(tuning, "candidates", node.dispatch.candidates);
   ReadDuration(tuning, "widen_after_ms", node.dispatch.widen_after);
-  ReadDuration(tuning, "server_patience_ms", node.dispatch.server_patience);
-  ReadDuration(tuning, "seal_patience_ms", node.dispatch.seal_patience);
+  ReadDuration(tuning, "server_patience_ms", node.dispatch.server_lost_timeout);
+  ReadDuration(tuning, "seal_patience_ms", node.dispatch.seal_timeout);
   ReadDuration(tuning, "keep_ended_ms", node.dispatch.keep_ended);
   ReadCount(tuning, "max_waiting", node.dispatch.max_waiting);
   ReadDuration(tuning, "claim_retention_ms", node.claims.retention);
   ReadDuration(tuning, "clock_skew_ms", node.claims.clock_skew, 0);
   ReadDuration(tuning, "list_period_ms", node.registration.list_period);
-  ReadDuration(tuning, "poll_period_ms", node.spread.poll_period);
+  ReadDuration(tuning, "poll_period_ms", node.config_distributor.poll_period);
   ReadCount(tuning, "max_body_bytes", settings.http.max_body_bytes);
 }
 
 void ReadAgentTuning(JsonReader& tuning, AgentNode::Options& node) {
   ReadMemberTuning(tuning, node.members);
   GateController::Options& gate = node.gate;
-  ReadCount(tuning, "first_in_flight", gate.server.in_flight.first);
-  ReadCount(tuning, "most_in_flight", gate.server.in_flight.most);
+  ReadCount(tuning, "first_in_flight", gate.server.in_flight.initial);
+  ReadCount(tuning, "most_in_flight", gate.server.in_flight.max);
   ReadDuration(tuning, "between_tokens_ms",
                gate.server.in_flight.between_tokens);
   ReadCount(tuning, "lookahead", gate.lookahead, 0);
--- a/lavenderkeel/io/upstream_port.cc
+++ b/lavenderkeel/io/upstream_port.cc
@@ -79,10 +79,11 @@
 UpstreamPort::~UpstreamPort() = default;
 
 void UpstreamPort::Send(AttemptId attempt,
-                        const ForwardPort::Sending& sending) {
-  Connection* connection = TakeIdle(sending.server, sending.reuse_within);
+                        const ForwardPort::OutgoingRequest& outgoing) {
+  Connection* connection =
+      TakeIdle(outgoing.server, outgoing.max_reuse_idle_time);
   if (connection == nullptr) {
-    connection = Connect(sending);
+    connection = Connect(outgoing);
   }
   if (connection == nullptr) {
     // Reported later, since the controller is still in its call of Send().
@@ -96,19 +97,19 @@
   connection->skipping = false;
   connection->reader = ResponseReader(options_.answer);
   attempts_[attempt] = connection->id;
-  bufferevent_write(connection->events, sending.bytes.data(),
-                    sending.bytes.size());
+  bufferevent_write(connection->events, outgoing.bytes.data(),
+                    outgoing.bytes.size());
 }
 
 UpstreamPort::Connection* UpstreamPort::TakeIdle(const std::string& server,
-                                                 Duration reuse_within) {
+                                                 Duration max_reuse_idle_time) {
   const auto idle = idle_.find(server);
   if (idle == idle_.end() || idle->second.empty()) {
     return nullptr;
   }
   Connection& latest = *connections_.at(idle->second.back());
   const Duration age = clock_.Now() - latest.idle_since;
-  if (age > std::min(reuse_within, latest.idle_time)) {
+  if (age > std::min(max_reuse_idle_time, latest.idle_time)) {
     return nullptr;
   }
   idle->second.pop_back();
@@ -117,15 +118,15 @@
 }
 
 UpstreamPort::Connection* UpstreamPort::Connect(
-    const ForwardPort::Sending& sending) {
-  const std::optional<Address> address = Address::Parse(sending.address);
+    const ForwardPort::OutgoingRequest& outgoing) {
+  const std::optional<Address> address = Address::Parse(outgoing.address);
   if (!address.has_value()) {
     return nullptr;
   }
   ++connects_;
   const ConnectionId id = ++last_;
   auto connection = std::make_unique<Connection>(*this, id, options_.answer);
-  connection->server = sending.server;
+  connection->server = outgoing.server;
   connection->connecting_since = clock_.Now();
   connection->events =
       bufferevent_socket_new(loop_.base(), -1, BEV_OPT_CLOSE_ON_FREE);
--- a/lavenderkeel/io/upstream_port.h
+++ b/lavenderkeel/io/upstream_port.h
@@ -59,7 +59,7 @@
   UpstreamPort(const UpstreamPort&) = delete;
   UpstreamPort& operator=(const UpstreamPort&) = delete;
 
-  void Send(AttemptId attempt, const ForwardPort::Sending& sending);
+  void Send(AttemptId attempt, const ForwardPort::OutgoingRequest& outgoing);
   void Cancel(AttemptId attempt);
   /// Fails overdue connection attempts and closes connections that are idle for
   /// too long.
@@ -72,8 +72,8 @@
   struct Connection;
   using ConnectionId = uint64_t;
 
-  Connection* TakeIdle(const std::string& server, Duration reuse_within);
-  Connection* Connect(const ForwardPort::Sending& sending);
+  Connection* TakeIdle(const std::string& server, Duration max_reuse_idle_time);
+  Connection* Connect(const ForwardPort::OutgoingRequest& outgoing);
   void OnReadable(Connection& connection);
   /// Parses received bytes.
   /// @return false once the connection is closed or needs more bytes
--- a/lavenderkeel/membership.h
+++ b/lavenderkeel/membership.h
@@ -5,7 +5,7 @@
 
 #include "lavenderkeel/membership/backoff.h"
 #include "lavenderkeel/membership/coordinators.h"
-#include "lavenderkeel/membership/gap_detector.h"
+#include "lavenderkeel/membership/freeze_detector.h"
 #include "lavenderkeel/membership/holder_coverage.h"
 #include "lavenderkeel/membership/holder_ranking.h"
 #include "lavenderkeel/membership/instance_info.h"
--- a/lavenderkeel/membership/backoff.h
+++ b/lavenderkeel/membership/backoff.h
@@ -15,8 +15,8 @@
 class Backoff {
  public:
   struct Options {
-    Duration first = std::chrono::milliseconds(50);
-    Duration longest = std::chrono::seconds(2);
+    Duration initial = std::chrono::milliseconds(50);
+    Duration max = std::chrono::seconds(2);
   };
 
   Backoff() = default;
@@ -25,8 +25,8 @@
   /// Returns the wait before the next attempt: uniform between half and the
   /// whole step.
   Duration Next(std::mt19937_64& random) {
-    const Duration step = std::min(options_.longest, options_.first * factor_);
-    if (step < options_.longest) {
+    const Duration step = std::min(options_.max, options_.initial * factor_);
+    if (step < options_.max) {
       factor_ *= 2;
     }
     std::uniform_int_distribution<int64_t> pick(step.count() / 2, step.count());
--- a/lavenderkeel/membership/coordinators.cc
+++ b/lavenderkeel/membership/coordinators.cc
@@ -38,7 +38,7 @@
       std::ceil(std::sqrt(static_cast<double>(all.size()))));
   const size_t max_count =
       std::clamp(root_of_count + rules.max_beyond_root, rules.min,
-                 std::max(rules.min, rules.most));
+                 std::max(rules.min, rules.max));
   const size_t count = std::clamp(strong_count, rules.min, max_count);
   ranked.resize(std::min(ranked.size(), count));
   std::set<std::string> chosen;
--- a/lavenderkeel/membership/coordinators.h
+++ b/lavenderkeel/membership/coordinators.h
@@ -20,7 +20,7 @@
 struct CoordinatorRules {
   /// More coordinators bring no speed-up: there are fewer groups of servers
   /// than that, and each group has its slot scheduler at one coordinator.
-  size_t most = 16;
+  size_t max = 16;
   /// The loss of two at a time must leave some that all entries are connected
   /// to.
   size_t min = 4;
--- a/lavenderkeel/membership/gap_detector.h
+++ b/lavenderkeel/membership/freeze_detector.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_MEMBERSHIP_GAP_DETECTOR_H_
-#define LAVENDERKEEL_MEMBERSHIP_GAP_DETECTOR_H_
+#ifndef LAVENDERKEEL_MEMBERSHIP_FREEZE_DETECTOR_H_
+#define LAVENDERKEEL_MEMBERSHIP_FREEZE_DETECTOR_H_
 
 #include "lavenderkeel/base/clock.h"
 
@@ -11,9 +11,9 @@
 /// treat all others as unresponsive, or vouch for keys that were claimed
 /// elsewhere meanwhile. Every event therefore checks for a jump in time first,
 /// so that nothing is decided on the old state before the gap is known.
-class GapDetector {
+class FreezeDetector {
  public:
-  explicit GapDetector(Duration max_gap) : max_gap_(max_gap) {}
+  explicit FreezeDetector(Duration max_gap) : max_gap_(max_gap) {}
 
   /// Returns true once after each gap.
   bool Check(TimePoint now) {
@@ -29,4 +29,4 @@
 
 }  // namespace lavenderkeel
 
-#endif  // LAVENDERKEEL_MEMBERSHIP_GAP_DETECTOR_H_
+#endif  // LAVENDERKEEL_MEMBERSHIP_FREEZE_DETECTOR_H_
--- a/lavenderkeel/membership/holder_ranking.cc
+++ b/lavenderkeel/membership/holder_ranking.cc
@@ -45,9 +45,10 @@
 void HolderRanking::SetLost(const PeerId& peer, WallTime now) {
   known_since_.try_emplace(peer.instance, now);
   const auto present = present_.find(peer.instance);
-  const bool had_same_view = present != present_.end() &&
-                             present->second.incarnation == peer.incarnation &&
-                             present->second.known_entries == KnownEntries();
+  const bool had_same_view =
+      present != present_.end() &&
+      present->second.incarnation == peer.incarnation &&
+      present->second.known_entries == KnownEntriesHash();
   if (present != present_.end()) {
     present_.erase(present);
   }
@@ -69,7 +70,7 @@
   }
 }
 
-uint64_t HolderRanking::KnownEntries() const {
+uint64_t HolderRanking::KnownEntriesHash() const {
   Names names = PresentAndMaybeAlive();
   std::ranges::sort(names);
   uint64_t hash = 0;
@@ -84,8 +85,8 @@
                     PresentAndLost([](const LostEntry&) { return false; }));
 }
 
-bool HolderRanking::MetEveryClaim(const std::string& instance,
-                                  const RequestKey& key) const {
+bool HolderRanking::KnowsEveryClaim(const std::string& instance,
+                                    const RequestKey& key) const {
   // An entry that was lost before the key was first sent has granted no claim
   // on it.
   const WallTime since = key.first_sent() - options_.clock_skew;
@@ -121,7 +122,7 @@
              : HolderCoverage::kFull;
 }
 
-bool HolderRanking::AnySilent() const {
+bool HolderRanking::HasUnconfirmedLoss() const {
   return std::ranges::any_of(
       lost_, [](const auto& item) { return item.second.may_be_alive; });
 }
@@ -144,8 +145,8 @@
           TopHolders(key, NamesKnownTo(loss))};
 }
 
-bool HolderRanking::RanksBesideLost(const std::string& instance,
-                                    const RequestKey& key) const {
+bool HolderRanking::IsCoHolderWithLost(const std::string& instance,
+                                       const RequestKey& key) const {
   for (const auto& [lost, loss] : lost_) {
     for (const Names& top : PossibleHolders(loss, key)) {
       if (Contains(top, lost) && !Contains(top, instance)) {
@@ -177,7 +178,7 @@
 }
 
 bool HolderRanking::AllHaveSameView() const {
-  const uint64_t own = KnownEntries();
+  const uint64_t own = KnownEntriesHash();
   const bool present_have_same_view =
       std::ranges::all_of(present_, [&](const auto& item) {
         return item.first == self_ || item.second.known_entries == own;
--- a/lavenderkeel/membership/holder_ranking.h
+++ b/lavenderkeel/membership/holder_ranking.h
@@ -48,12 +48,12 @@
   /// incarnation that was lost stays remembered: its claims are gone all the
   /// same.
   void SetLeft(const std::string& instance);
-  /// Records which entries a present entry knows; see KnownEntries.
+  /// Records which entries a present entry knows; see KnownEntriesHash.
   void SetReport(const PeerId& peer, uint64_t known_entries);
 
   /// Returns a hash of the names of all known entries: those present, and those
   /// lost that may be alive.
-  uint64_t KnownEntries() const;
+  uint64_t KnownEntriesHash() const;
 
   /// Returns the holders of a key among the present entries, first holder
   /// first.
@@ -61,19 +61,20 @@
 
   /// Returns true if `instance` received every claim on the key since it was
   /// first sent.
-  bool MetEveryClaim(const std::string& instance, const RequestKey& key) const;
+  bool KnowsEveryClaim(const std::string& instance,
+                       const RequestKey& key) const;
 
   /// Returns whether the reachable holders know of every claim on the key,
   /// including those that a lost entry, cut off but alive, may have granted.
   HolderCoverage Coverage(const RequestKey& key) const;
 
   /// Returns true if a lost entry may be alive.
-  bool AnySilent() const;
+  bool HasUnconfirmedLoss() const;
 
   /// Returns true if `instance` ranks beside each lost holder of the key, and
   /// so received every claim that both of them granted together.
-  bool RanksBesideLost(const std::string& instance,
-                       const RequestKey& key) const;
+  bool IsCoHolderWithLost(const std::string& instance,
+                          const RequestKey& key) const;
 
   /// Drops losses older than the maximum age of keys.
   void ForgetLostBefore(WallTime when);
--- a/lavenderkeel/membership/member_table.cc
+++ b/lavenderkeel/membership/member_table.cc
@@ -56,9 +56,9 @@
   if (!outbound) {
     return true;
   }
-  member.silent_since.reset();
+  member.disconnected_since.reset();
   member.lost = false;
-  member.met = true;
+  member.was_connected = true;
   DialTarget& target = targets_[dialed];
   target.dialing = false;
   target.instance = peer.id.instance;
@@ -88,8 +88,8 @@
   const bool leaving = member.info.leaving;
   member.info = peer;
   member.info.leaving = leaving;
-  if (!member.outbound.has_value() && !member.silent_since.has_value()) {
-    member.silent_since = clock_.Now();
+  if (!member.outbound.has_value() && !member.disconnected_since.has_value()) {
+    member.disconnected_since = clock_.Now();
   }
   if (!peer.address.empty()) {
     UpdateDialTarget(peer);
@@ -121,7 +121,7 @@
   }
   if (outbound && member->second.outbound == link) {
     member->second.outbound.reset();
-    member->second.silent_since = clock_.Now();
+    member->second.disconnected_since = clock_.Now();
   }
   if (!outbound && member->second.inbound == link) {
     member->second.inbound.reset();
@@ -138,7 +138,7 @@
       clock_.Now() + found->second.backoff.Next(random_);
 }
 
-void MemberTable::OnHeard(LinkId link) {
+void MemberTable::OnMessageReceived(LinkId link) {
   const auto found = links_.find(link);
   if (found != links_.end()) {
     found->second.last_received = clock_.Now();
@@ -151,7 +151,7 @@
     return;
   }
   Member& member = members_.at(found->second.instance);
-  member.heard = true;
+  member.has_heartbeat = true;
   member.config_version = heartbeat.config_version;
   member.load = heartbeat;
   if (heartbeat.leaving && !member.info.leaving) {
@@ -243,9 +243,9 @@
     const Member& member = item.second;
     const bool linked =
         member.inbound.has_value() || member.outbound.has_value();
-    const bool gone = member.lost || !member.met;
+    const bool gone = member.lost || !member.was_connected;
     return gone && !linked &&
-           now - *member.silent_since > options_.forget_after;
+           now - *member.disconnected_since > options_.forget_after;
   });
 }
 
@@ -268,11 +268,12 @@
   std::vector<std::pair<PeerId, Role>> lost;
   for (auto& [instance, member] : members_) {
     // An entry that this process does not dial may only dial this process.
-    const bool expected = member.met || member.info.role != Role::kEntry ||
+    const bool expected = member.was_connected ||
+                          member.info.role != Role::kEntry ||
                           IsWantedEntry(instance);
     const bool overdue =
-        expected && member.silent_since.has_value() &&
-        now - *member.silent_since > options_.heartbeat_timeout;
+        expected && member.disconnected_since.has_value() &&
+        now - *member.disconnected_since > options_.heartbeat_timeout;
     if (overdue && !member.lost) {
       member.lost = true;
       lost.emplace_back(member.info.id, member.info.role);
@@ -383,7 +384,7 @@
   return wanted;
 }
 
-bool MemberTable::MetWithAllEntries() const {
+bool MemberTable::HasConnectedToAllEntries() const {
   const TimePoint now = clock_.Now();
   return std::ranges::all_of(targets_, [&](const auto& item) {
     const DialTarget& target = item.second;
@@ -402,14 +403,14 @@
   });
 }
 
-void MemberTable::ForgiveSilence() {
+void MemberTable::ResetSilenceTimers() {
   const TimePoint now = clock_.Now();
   for (auto& [link, state] : links_) {
     state.last_received = now;
   }
   for (auto& [instance, member] : members_) {
-    if (member.silent_since.has_value() && !member.lost) {
-      member.silent_since = now;
+    if (member.disconnected_since.has_value() && !member.lost) {
+      member.disconnected_since = now;
     }
   }
 }
--- a/lavenderkeel/membership/member_table.h
+++ b/lavenderkeel/membership/member_table.h
@@ -27,17 +27,17 @@
   /// The connection that the peer opened.
   std::optional<LinkId> inbound;
   /// When the outbound link went down; empty while it is up.
-  std::optional<TimePoint> silent_since;
+  std::optional<TimePoint> disconnected_since;
   /// Set once the outbound link was down for longer than the heartbeat timeout.
   bool lost = false;
   /// The outbound link has been up.
-  bool met = false;
+  bool was_connected = false;
   uint64_t config_version = 0;
   /// Set by the first heartbeat, before which nothing is known of the peer.
-  bool heard = false;
+  bool has_heartbeat = false;
   Heartbeat load;
 
-  bool live() const { return outbound.has_value() && heard && !lost; }
+  bool live() const { return outbound.has_value() && has_heartbeat && !lost; }
 };
 
 /// Keeps the connections to the other processes and detects which of them are
@@ -80,7 +80,7 @@
   void OnLinkDown(LinkId link);
   void OnDialFailed(const std::string& address);
   /// Handles any message: the link is alive.
-  void OnHeard(LinkId link);
+  void OnMessageReceived(LinkId link);
   void OnHeartbeat(LinkId link, const Heartbeat& heartbeat);
   void OnInstanceList(const std::vector<InstanceInfo>& instances);
   void AddSeed(const std::string& address);
@@ -95,15 +95,15 @@
   void Tick();
   /// Restarts the timeouts of all peers that are not lost, after this process
   /// was frozen: the missing messages are due to its own pause.
-  void ForgiveSilence();
+  void ResetSilenceTimers();
   /// Adds an agent outside the subset of this entry to the agents to dial.
-  void AlsoWant(const std::string& instance) {
+  void AddWantedAgent(const std::string& instance) {
     extra_wanted_agents_.insert(instance);
   }
   /// Returns true if each known entry of this region is connected in both
   /// directions or has been unreachable for long: then all entries that can
   /// connect to each other know each other.
-  bool MetWithAllEntries() const;
+  bool HasConnectedToAllEntries() const;
   /// Sends over the connections that this process opened.
   void SendToAll(Role role, const Message& message);
   /// Sends a heartbeat to every peer at once, so that none waits for the
@@ -140,7 +140,7 @@
   }
   /// Emitted when a known entry of this region did not connect in all the time
   /// in which others do: it is gone, or on the other side of a partition.
-  sigc::signal<void(const PeerId&)>& signal_unmet() {
+  sigc::signal<void(const PeerId&)>& signal_never_connected() {
     return signal_never_connected_;
   }
   /// Emitted when an incarnation announces that it is leaving.
--- a/lavenderkeel/platform/conditional_update.h
+++ b/lavenderkeel/platform/conditional_update.h
@@ -28,8 +28,8 @@
         const std::optional<std::string>& present)>
         next;
     std::function<void()> done;
-    Backoff::Options retry = {.first = std::chrono::milliseconds(100),
-                              .longest = std::chrono::seconds(10)};
+    Backoff::Options retry = {.initial = std::chrono::milliseconds(100),
+                              .max = std::chrono::seconds(10)};
   };
 
   ConditionalUpdate(Options options,
--- a/lavenderkeel/rollout.h
+++ b/lavenderkeel/rollout.h
@@ -6,12 +6,12 @@
 /// version, its comparison with the baseline, and completion or rollback.
 #include "lavenderkeel/rollout/answer_counts.h"
 #include "lavenderkeel/rollout/rollout_controller.h"
-#include "lavenderkeel/rollout/rollout_guide.h"
 #include "lavenderkeel/rollout/rollout_order.h"
 #include "lavenderkeel/rollout/rollout_plan.h"
 #include "lavenderkeel/rollout/rollout_progress.h"
 #include "lavenderkeel/rollout/rollout_wire.h"
 #include "lavenderkeel/rollout/service_versions.h"
 #include "lavenderkeel/rollout/version_comparison.h"
+#include "lavenderkeel/rollout/version_selector.h"
 
 #endif  // LAVENDERKEEL_ROLLOUT_H_
--- a/lavenderkeel/rollout/rollout_controller.cc
+++ b/lavenderkeel/rollout/rollout_controller.cc
@@ -159,7 +159,7 @@
   const RolloutPhase former = progress.phase();
   const bool changed = progress.Step(
       {.now = clock_.Now(),
-       .reachable_entries = cluster.heard,
+       .reachable_entries = cluster.reachable_entries,
        .majority = cluster.majority,
        .store_lost = cluster.store_lost,
        .canary_servers = versions_.CountServers(order.service, order.to)});
--- a/lavenderkeel/rollout/rollout_controller.h
+++ b/lavenderkeel/rollout/rollout_controller.h
@@ -57,7 +57,7 @@
   struct ClusterState {
     /// Whether this entry writes the records and starts the phases.
     bool decides = false;
-    size_t heard = 1;
+    size_t reachable_entries = 1;
     bool majority = true;
     bool store_lost = false;
     bool servers_listed = false;
--- a/lavenderkeel/rollout/rollout_guide.cc
+++ b/lavenderkeel/rollout/version_selector.cc
@@ -1,4 +1,4 @@
-#include "lavenderkeel/rollout/rollout_guide.h"
+#include "lavenderkeel/rollout/version_selector.h"
 
 #include <algorithm>
 #include <utility>
@@ -20,13 +20,13 @@
 
 }  // namespace
 
-RolloutGuide::RolloutGuide(const Options& options,
-                           const ServerDirectory& directory,
-                           const Clock& clock,
-                           const EventLog& log)
+VersionSelector::VersionSelector(const Options& options,
+                                 const ServerDirectory& directory,
+                                 const Clock& clock,
+                                 const EventLog& log)
     : options_(options), clock_(clock), log_(log), versions_(directory) {}
 
-void RolloutGuide::OnPlans(const std::vector<RolloutPlan>& plans) {
+void VersionSelector::OnPlans(const std::vector<RolloutPlan>& plans) {
   known_ = true;
   std::erase_if(rollouts_, [&plans](const auto& item) {
     return std::ranges::find(plans, item.first, &RolloutPlan::service) ==
@@ -60,18 +60,19 @@
   }
 }
 
-RolloutGuide::RolloutState* RolloutGuide::Find(const std::string& service) {
+VersionSelector::RolloutState* VersionSelector::Find(
+    const std::string& service) {
   const auto found = rollouts_.find(service);
   return found == rollouts_.end() ? nullptr : &found->second;
 }
 
-bool RolloutGuide::HasPlanLease(const RolloutState& rollout) const {
+bool VersionSelector::HasPlanLease(const RolloutState& rollout) const {
   return clock_.Now() - rollout.plan_received <= options_.plan_lease;
 }
 
-RolloutGuide::Choice RolloutGuide::Choose(const std::string& service,
-                                          const std::string& route,
-                                          bool fresh) {
+VersionSelector::Choice VersionSelector::Choose(const std::string& service,
+                                                const std::string& route,
+                                                bool fresh) {
   if (!options_.bounds.enabled) {
     return {};
   }
@@ -93,7 +94,7 @@
   return {.version = BaselineVersion(plan), .canary = canary ? plan.to : ""};
 }
 
-std::string RolloutGuide::BaselineVersion(const RolloutPlan& plan) {
+std::string VersionSelector::BaselineVersion(const RolloutPlan& plan) {
   if (!plan.from.empty()) {
     return plan.from;
   }
@@ -102,8 +103,8 @@
   return baseline.empty() || baseline == plan.to ? kNoVersion : baseline;
 }
 
-bool RolloutGuide::TakeCanaryCredit(RolloutState& rollout,
-                                    const std::string& route) {
+bool VersionSelector::TakeCanaryCredit(RolloutState& rollout,
+                                       const std::string& route) {
   const bool ramp = rollout.plan.phase == RolloutPhase::kRamp;
   const double fraction =
       ramp ? options_.ramp_fraction : options_.canary_fraction;
@@ -126,8 +127,8 @@
   return true;
 }
 
-bool RolloutGuide::Admits(const std::string& service,
-                          const std::string& version) {
+bool VersionSelector::Admits(const std::string& service,
+                             const std::string& version) {
   if (!options_.bounds.enabled) {
     return true;
   }
@@ -151,11 +152,11 @@
   }
 }
 
-RolloutGuide::Attempt RolloutGuide::OnSent(const std::string& service,
-                                           const std::string& route,
-                                           const BackendServer& server,
-                                           int in_flight,
-                                           bool fresh) {
+VersionSelector::Attempt VersionSelector::OnSent(const std::string& service,
+                                                 const std::string& route,
+                                                 const BackendServer& server,
+                                                 int in_flight,
+                                                 bool fresh) {
   Attempt attempt = {
       .sampled = fresh,
       .server = HashBytes(server.start_key()),
@@ -175,7 +176,7 @@
   return attempt;
 }
 
-RolloutGuide::RolloutState* RolloutGuide::FindCounted(
+VersionSelector::RolloutState* VersionSelector::FindCounted(
     const std::string& service,
     const Attempt& attempt) {
   RolloutState* rollout = Find(service);
@@ -184,7 +185,8 @@
   return matches ? rollout : nullptr;
 }
 
-void RolloutGuide::OnOver(const std::string& service, Attempt& attempt) {
+void VersionSelector::OnAttemptEnd(const std::string& service,
+                                   Attempt& attempt) {
   RolloutState* rollout = FindCounted(service, attempt);
   if (rollout != nullptr && attempt.arm == Arm::kBaseline) {
     --rollout->counts.running_at_baseline;
@@ -192,23 +194,23 @@
   attempt.arm = Arm::kNone;
 }
 
-AnswerCounts& RolloutGuide::CountsOf(RolloutState& rollout,
-                                     const Attempt& attempt) {
+AnswerCounts& VersionSelector::CountsOf(RolloutState& rollout,
+                                        const Attempt& attempt) {
   return attempt.arm == Arm::kCanary
              ? rollout.counts.canary[{attempt.route, attempt.server}]
              : rollout.counts.baseline[attempt.route];
 }
 
-void RolloutGuide::OnAnswered(const std::string& service,
-                              const Attempt& attempt) {
+void VersionSelector::OnAnswered(const std::string& service,
+                                 const Attempt& attempt) {
   RolloutState* rollout = FindCounted(service, attempt);
   if (rollout != nullptr && attempt.sampled) {
     ++CountsOf(*rollout, attempt).answered;
   }
 }
 
-void RolloutGuide::OnFailed(const std::string& service,
-                            const Attempt& attempt) {
+void VersionSelector::OnFailed(const std::string& service,
+                               const Attempt& attempt) {
   RolloutState* rollout = FindCounted(service, attempt);
   if (rollout != nullptr && attempt.sampled) {
     AnswerCounts& counts = CountsOf(*rollout, attempt);
@@ -217,8 +219,8 @@
   }
 }
 
-void RolloutGuide::OnBroken(const std::string& service,
-                            const Attempt& attempt) {
+void VersionSelector::OnBroken(const std::string& service,
+                               const Attempt& attempt) {
   RolloutState* rollout = FindCounted(service, attempt);
   if (rollout != nullptr && attempt.sampled) {
     AnswerCounts& counts = CountsOf(*rollout, attempt);
@@ -227,24 +229,27 @@
   }
 }
 
-bool RolloutGuide::IsSlow(double ms, const HighQuantile& usual) const {
+bool VersionSelector::IsSlow(double ms,
+                             const UpperQuantileEstimator& usual) const {
   return !usual.empty() && ms > options_.slow_factor * usual.value();
 }
 
-double RolloutGuide::UnloadedMilliseconds(const Attempt& attempt,
-                                          Duration took) const {
+double VersionSelector::UnloadedMilliseconds(const Attempt& attempt,
+                                             Duration took) const {
   return ToFractionalMilliseconds(took) /
          (1 + options_.full_server_slowdown * attempt.load);
 }
 
-void RolloutGuide::RecordLatency(const std::string& service,
-                                 Attempt& attempt,
-                                 Duration took,
-                                 HighQuantile UsualLatency::*usual) {
+void VersionSelector::RecordLatency(
+    const std::string& service,
+    Attempt& attempt,
+    Duration took,
+    UpperQuantileEstimator UsualLatency::*usual) {
   if (attempt.arm == Arm::kNone || !attempt.sampled || attempt.slow) {
     return;
   }
-  HighQuantile& baseline = usual_latency_[{service, attempt.route}].*usual;
+  UpperQuantileEstimator& baseline =
+      usual_latency_[{service, attempt.route}].*usual;
   const double ms = UnloadedMilliseconds(attempt, took);
   attempt.slow = IsSlow(ms, baseline);
   if (RolloutState* rollout = FindCounted(service, attempt)) {
@@ -257,32 +262,32 @@
   }
 }
 
-void RolloutGuide::OnFirstPart(const std::string& service,
-                               Attempt& attempt,
-                               Duration took) {
+void VersionSelector::OnFirstChunk(const std::string& service,
+                                   Attempt& attempt,
+                                   Duration took) {
   RecordLatency(service, attempt, took, &UsualLatency::first_chunk_ms);
 }
 
-void RolloutGuide::OnPace(const std::string& service,
-                          Attempt& attempt,
-                          Duration took) {
+void VersionSelector::OnEventInterval(const std::string& service,
+                                      Attempt& attempt,
+                                      Duration took) {
   RecordLatency(service, attempt, took, &UsualLatency::pace_ms);
 }
 
-void RolloutGuide::OnNothingYet(const std::string& service,
-                                Attempt& attempt,
-                                Duration since) {
+void VersionSelector::OnNoAnswerYet(const std::string& service,
+                                    Attempt& attempt,
+                                    Duration since) {
   if (attempt.arm != Arm::kCanary || attempt.slow) {
     return;
   }
-  const HighQuantile& usual =
+  const UpperQuantileEstimator& usual =
       usual_latency_[{service, attempt.route}].first_chunk_ms;
   if (IsSlow(UnloadedMilliseconds(attempt, since), usual)) {
-    OnFirstPart(service, attempt, since);
+    OnFirstChunk(service, attempt, since);
   }
 }
 
-std::vector<RolloutCounts> RolloutGuide::Report() const {
+std::vector<RolloutCounts> VersionSelector::Report() const {
   std::vector<RolloutCounts> report;
   for (const auto& [service, rollout] : rollouts_) {
     switch (rollout.plan.phase) {
--- a/lavenderkeel/rollout/rollout_guide.h
+++ b/lavenderkeel/rollout/version_selector.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_ROLLOUT_ROLLOUT_GUIDE_H_
-#define LAVENDERKEEL_ROLLOUT_ROLLOUT_GUIDE_H_
+#ifndef LAVENDERKEEL_ROLLOUT_VERSION_SELECTOR_H_
+#define LAVENDERKEEL_ROLLOUT_VERSION_SELECTOR_H_
 
 #include <cstdint>
 #include <map>
@@ -9,8 +9,8 @@
 
 #include "lavenderkeel/base/clock.h"
 #include "lavenderkeel/base/event_log.h"
-#include "lavenderkeel/forward/high_quantile.h"
 #include "lavenderkeel/forward/server_directory.h"
+#include "lavenderkeel/forward/upper_quantile_estimator.h"
 #include "lavenderkeel/rollout/answer_counts.h"
 #include "lavenderkeel/rollout/rollout_plan.h"
 #include "lavenderkeel/rollout/service_versions.h"
@@ -23,7 +23,7 @@
 /// It follows the plans of the deciding entry. The new version's requests
 /// before the shift are limited here in proportion to this entry's own
 /// requests, so the limit holds without messages from other entries.
-class RolloutGuide {
+class VersionSelector {
  public:
   struct Options {
     ExposureBounds bounds;
@@ -73,10 +73,10 @@
     friend bool operator==(const Attempt&, const Attempt&) = default;
   };
 
-  RolloutGuide(const Options& options,
-               const ServerDirectory& directory,
-               const Clock& clock,
-               const EventLog& log);
+  VersionSelector(const Options& options,
+                  const ServerDirectory& directory,
+                  const Clock& clock,
+                  const EventLog& log);
 
   /// Takes the plans of the deciding entry, which arrive several times a
   /// second.
@@ -100,26 +100,30 @@
                  int in_flight,
                  bool fresh);
   /// The attempt ended, with or without an answer.
-  void OnOver(const std::string& service, Attempt& attempt);
+  void OnAttemptEnd(const std::string& service, Attempt& attempt);
   void OnAnswered(const std::string& service, const Attempt& attempt);
   void OnFailed(const std::string& service, const Attempt& attempt);
   void OnBroken(const std::string& service, const Attempt& attempt);
   /// Records the time until the first chunk of the answer.
-  void OnFirstPart(const std::string& service, Attempt& attempt, Duration took);
+  void OnFirstChunk(const std::string& service,
+                    Attempt& attempt,
+                    Duration took);
   /// Records the mean time between two events of a stream.
-  void OnPace(const std::string& service, Attempt& attempt, Duration took);
+  void OnEventInterval(const std::string& service,
+                       Attempt& attempt,
+                       Duration took);
   /// No chunk of the answer has arrived for this long.
-  void OnNothingYet(const std::string& service,
-                    Attempt& attempt,
-                    Duration since);
+  void OnNoAnswerYet(const std::string& service,
+                     Attempt& attempt,
+                     Duration since);
 
   std::vector<RolloutCounts> Report() const;
   ServiceVersions& versions() { return versions_; }
 
  private:
   struct UsualLatency {
-    HighQuantile first_chunk_ms;
-    HighQuantile pace_ms;
+    UpperQuantileEstimator first_chunk_ms;
+    UpperQuantileEstimator pace_ms;
   };
   struct RolloutState {
     RolloutPlan plan;
@@ -138,14 +142,14 @@
   /// servers.
   std::string BaselineVersion(const RolloutPlan& plan);
   bool TakeCanaryCredit(RolloutState& rollout, const std::string& route);
-  bool IsSlow(double ms, const HighQuantile& usual) const;
+  bool IsSlow(double ms, const UpperQuantileEstimator& usual) const;
   /// The latency in milliseconds, scaled to an empty server.
   double UnloadedMilliseconds(const Attempt& attempt, Duration took) const;
   AnswerCounts& CountsOf(RolloutState& rollout, const Attempt& attempt);
   void RecordLatency(const std::string& service,
                      Attempt& attempt,
                      Duration took,
-                     HighQuantile UsualLatency::*usual);
+                     UpperQuantileEstimator UsualLatency::*usual);
 
   Options options_;
   const Clock& clock_;
@@ -160,4 +164,4 @@
 
 }  // namespace lavenderkeel
 
-#endif  // LAVENDERKEEL_ROLLOUT_ROLLOUT_GUIDE_H_
+#endif  // LAVENDERKEEL_ROLLOUT_VERSION_SELECTOR_H_
--- a/lavenderkeel/watch/object_watch.cc
+++ b/lavenderkeel/watch/object_watch.cc
@@ -99,7 +99,7 @@
   answered_at_ = clock_.Now();
   if (std::exchange(failures_, 0) > 0) {
     log_.Info("store_regained", {{"kind", options_.object_kind}});
-    hooks_.on_return();
+    hooks_.on_recovery();
   }
 }
 
@@ -135,11 +135,11 @@
     }
   } else {
     last_change_ = std::max(last_change_, result.revision);
-    retry_at_ = clock_.Now() + options_.gather;
+    retry_at_ = clock_.Now() + options_.batch_delay;
   }
 }
 
-void ObjectWatch::OnToldBy(uint64_t revision) {
+void ObjectWatch::OnPeerRevision(uint64_t revision) {
   if (revision <= std::max(revision_, reported_revision_)) {
     return;
   }
@@ -157,11 +157,11 @@
   // The answer to a pending read is no longer needed.
   pending_call_ = 0;
   if (std::exchange(failures_, 0) > 0) {
-    hooks_.on_return();
+    hooks_.on_recovery();
   }
 }
 
-void ObjectWatch::OnFed(uint64_t revision) {
+void ObjectWatch::OnPeerUpdate(uint64_t revision) {
   revision_ = std::max(revision_, revision);
   last_change_ = std::max(last_change_, revision);
   // A list requested before may be answered after this and would set a leaving
--- a/lavenderkeel/watch/object_watch.h
+++ b/lavenderkeel/watch/object_watch.h
@@ -91,15 +91,15 @@
     /// After changes the next watch waits this long, so that a burst of them (a
     /// release, the servers of a start) costs one call rather than one for
     /// each. An eighth of the time in which a change has to be in force.
-    Duration gather = std::chrono::milliseconds(250);
+    Duration batch_delay = std::chrono::milliseconds(250);
     /// A change that others report and this watch has not received is read
     /// after this time: a watch that only delays to batch changes has received
     /// it by then.
     Duration peer_report_delay = std::chrono::milliseconds(600);
     /// After an answer at most this old there is nothing to confirm.
     Duration max_fresh_age = std::chrono::milliseconds(500);
-    Backoff::Options retry = {.first = std::chrono::milliseconds(100),
-                              .longest = std::chrono::milliseconds(500)};
+    Backoff::Options retry = {.initial = std::chrono::milliseconds(100),
+                              .max = std::chrono::milliseconds(500)};
   };
 
   struct Hooks {
@@ -113,7 +113,7 @@
     std::function<void()> on_outage;
     /// The store answers again; called before the list or changes that the
     /// answer brings.
-    std::function<void()> on_return;
+    std::function<void()> on_recovery;
   };
 
   ObjectWatch(Options options,
@@ -129,18 +129,18 @@
   void Tick();
 
   /// Handles a report that a peer has seen a change of this revision.
-  void OnToldBy(uint64_t revision);
+  void OnPeerRevision(uint64_t revision);
   /// Asks the store now instead of waiting on: the watch may wait on an
   /// unresponsive connection. Does nothing after a recent answer.
   void Confirm();
   /// Sets the wait of the watches from now on.
   void set_wait(Duration wait) { options_.wait = wait; }
   /// While paused, sends no reads to the store, since a peer supplies the
-  /// changes; see OnFed. Continues from the latest revision supplied. A list
-  /// that is being read is completed first.
+  /// changes; see OnPeerUpdate. Continues from the latest revision supplied. A
+  /// list that is being read is completed first.
   void SetPaused(bool paused);
   /// Handles that a peer has supplied all changes up to the revision.
-  void OnFed(uint64_t revision);
+  void OnPeerUpdate(uint64_t revision);
 
   uint64_t revision() const { return revision_; }
   /// Revision of the latest change received.
--- a/test/claim/claim_table_test.cc
+++ b/test/claim/claim_table_test.cc
@@ -117,13 +117,13 @@
   holder.clock.Advance(std::chrono::seconds(5));
   const RequestKey key = holder.KeySentNow();
   Claim claim = ClaimOf("a");
-  claim.standing = ClaimStanding::kTentative;
+  claim.status = ClaimStatus::kTentative;
   BOOST_TEST(holder.table.Request(key, claim, {}).vouched);
   BOOST_TEST(!holder.table.Lookup(key).claim.confirmed);
   const RequestKey other = holder.KeySentNow();
   holder.table.Request(other, ClaimOf("a"), {});
   BOOST_TEST(holder.table.Lookup(other).claim.confirmed);
-  claim.standing = ClaimStanding::kRefused;
+  claim.status = ClaimStatus::kRefused;
   holder.table.Request(other, claim, {});
   BOOST_TEST(!holder.table.Lookup(other).claim.confirmed);
 }
--- a/test/claim/holder_ranking_test.cc
+++ b/test/claim/holder_ranking_test.cc
@@ -45,7 +45,7 @@
   for (int i = 0; i < 6; ++i) {
     const std::string& name = Entry(i).instance;
     const bool held = std::ranges::find(holders, name) != holders.end();
-    RC_ASSERT(held || !ranking.MetEveryClaim(name, key));
+    RC_ASSERT(held || !ranking.KnowsEveryClaim(name, key));
   }
 }
 
@@ -56,7 +56,7 @@
   ranking.SetPresent(Entry(2), kStart);
   ranking.SetLost(Entry(0), kSent - std::chrono::seconds(10));
   ranking.SetLost(Entry(1), kSent - std::chrono::seconds(10));
-  BOOST_TEST(ranking.MetEveryClaim("entry-2", KeySent(1)));
+  BOOST_TEST(ranking.KnowsEveryClaim("entry-2", KeySent(1)));
 }
 
 namespace {
@@ -71,7 +71,7 @@
     ranking.SetPresent(Entry(i), kStart);
   }
   for (int i = 1; i < 6; ++i) {
-    ranking.SetReport(Entry(i), ranking.KnownEntries());
+    ranking.SetReport(Entry(i), ranking.KnownEntriesHash());
   }
   return ranking;
 }
@@ -98,7 +98,7 @@
   for (int i = 0; i < 6; ++i) {
     const bool beside =
         std::ranges::find(holders, Entry(i).instance) != holders.end();
-    RC_ASSERT(i == lost || ranking.RanksBesideLost(Entry(i).instance, key) ==
+    RC_ASSERT(i == lost || ranking.IsCoHolderWithLost(Entry(i).instance, key) ==
                                (beside || !held));
   }
 }
@@ -123,7 +123,7 @@
   const int lost = std::max(NumberOf(ranking.Holders(key).front()),
                             NumberOf(ranking.Holders(key).back()));
   const int other = lost == 1 ? 2 : 1;
-  const uint64_t agreed = ranking.KnownEntries();
+  const uint64_t agreed = ranking.KnownEntriesHash();
   ranking.SetLost(Entry(lost), kSent - 10 * kSecond);
   ranking.SetReport(Entry(other), agreed + 1);
   BOOST_TEST((ranking.Coverage(key) == HolderCoverage::kNone));
@@ -137,7 +137,7 @@
   const RequestKey key = KeySent(1);
   const int lost = std::max(NumberOf(ranking.Holders(key).front()),
                             NumberOf(ranking.Holders(key).back()));
-  ranking.SetReport(Entry(lost), ranking.KnownEntries() + 1);
+  ranking.SetReport(Entry(lost), ranking.KnownEntriesHash() + 1);
   ranking.SetLost(Entry(lost), kSent - 10 * kSecond);
   BOOST_TEST((ranking.Coverage(key) == HolderCoverage::kNone));
 }
--- a/test/claim/key_register_test.cc
+++ b/test/claim/key_arbiter_test.cc
@@ -1,4 +1,4 @@
-#include "lavenderkeel/claim/key_register.h"
+#include "lavenderkeel/claim/key_arbiter.h"
 
 #include <boost/test/unit_test.hpp>
 #include <optional>
@@ -10,7 +10,7 @@
 
 namespace {
 
-using Decision = KeyRegister::Decision;
+using Decision = KeyArbiter::Decision;
 
 /// Arbiters of two entries at one platform; calls are answered when the test
 /// executes them.
@@ -19,18 +19,18 @@
     Entry(const std::string& name, TwoEntries& both)
         : self{.instance = name, .incarnation = 1},
           port(outbox),
-          key_register({}, self, both.clock, random, both.log, port) {}
+          key_arbiter({}, self, both.clock, random, both.log, port) {}
 
     PeerId self;
     std::mt19937_64 random{1};
     Outbox outbox;
     PlatformPort port;
-    KeyRegister key_register;
+    KeyArbiter key_arbiter;
     std::optional<Decision> decision;
 
     void Decide(const RequestKey& key) {
       decision.reset();
-      key_register.Decide(
+      key_arbiter.Decide(
           key, [this](const RequestKey&, Decision made) { decision = made; });
     }
   };
@@ -65,11 +65,11 @@
   both.second.Decide(key);
   both.ExecuteCalls(both.second);
   both.ExecuteCalls(both.first);
-  BOOST_TEST((both.second.decision == Decision::kOurs));
+  BOOST_TEST((both.second.decision == Decision::kGranted));
   BOOST_TEST((both.first.decision == Decision::kTaken));
   both.second.Decide(key);
   both.ExecuteCalls(both.second);
-  BOOST_TEST((both.second.decision == Decision::kOurs));
+  BOOST_TEST((both.second.decision == Decision::kGranted));
 }
 
 // The platform accepts the write but its answer is lost. The entry must not use
@@ -85,7 +85,7 @@
   both.clock.Advance(std::chrono::seconds(2));
   both.first.Decide(key);
   both.ExecuteCalls(both.first);
-  BOOST_TEST((both.first.decision == Decision::kOurs));
+  BOOST_TEST((both.first.decision == Decision::kGranted));
 }
 
 // After the first failed call to an unavailable platform, callers are answered
@@ -103,13 +103,13 @@
   both.clock.Advance(std::chrono::seconds(2));
   both.first.Decide(both.NewKey());
   both.ExecuteCalls(both.first);
-  BOOST_TEST((both.first.decision == Decision::kOurs));
+  BOOST_TEST((both.first.decision == Decision::kGranted));
 }
 
 // More keys wait for the platform than the limit allows.
 BOOST_AUTO_TEST_CASE(KeysBeyondTheLimitAreUndecidedAtOnce) {
   TwoEntries both;
-  const size_t limit = KeyRegister::Options{}.max_pending_keys;
+  const size_t limit = KeyArbiter::Options{}.max_pending_keys;
   for (size_t i = 0; i < limit; ++i) {
     both.first.Decide(both.NewKey());
     BOOST_TEST(!both.first.decision.has_value());
@@ -129,10 +129,10 @@
   const RequestKey young = both.NewKey();
   both.first.Decide(young);
   both.ExecuteCalls(both.first);
-  both.second.key_register.Tick();
+  both.second.key_arbiter.Tick();
   both.clock.Advance(std::chrono::minutes(6));
   for (int i = 0; i < 3; ++i) {
-    both.second.key_register.Tick();
+    both.second.key_arbiter.Tick();
     both.ExecuteCalls(both.second);
   }
   BOOST_TEST(both.platform.objects().size() == 1U);
--- a/test/config/config_parser_test.cc
+++ b/test/config/config_parser_test.cc
@@ -62,9 +62,9 @@
   for (int i = 0; i < 1000; ++i) {
     document.teams.push_back({.name = "team" + std::to_string(i)});
   }
-  const ShardedConfig before = CutIntoShards(document);
+  const ShardedConfig before = SplitIntoShards(document);
   document.teams[7].weight = 2;
-  const ShardedConfig after = CutIntoShards(document);
+  const ShardedConfig after = SplitIntoShards(document);
   size_t changed = 0;
   for (size_t i = 0; i < before.teams.size(); ++i) {
     changed += before.teams[i] != after.teams[i];
--- a/test/config/config_store_test.cc
+++ b/test/config/config_store_test.cc
@@ -23,13 +23,13 @@
 RC_BOOST_PROP(VersionNeverDecreases, (const std::vector<uint8_t>& versions)) {
   const EventLog log;
   ConfigStore store(log);
-  const ShardedConfig sharded = CutIntoShards(SampleDocument());
+  const ShardedConfig sharded = SplitIntoShards(SampleDocument());
   uint64_t highest = 0;
   for (const uint8_t version : versions) {
     ConfigHead head{.version = version,
                     .preset = version % 2 == 0 ? "ordinary" : "peak",
                     .base = sharded.base.name};
-    store.Offer(head);
+    store.OfferHead(head);
     store.AddShard(sharded.base.name, sharded.base.body);
     highest = std::max<uint64_t>(highest, version);
     RC_ASSERT(store.version() == highest);
@@ -41,10 +41,10 @@
 BOOST_AUTO_TEST_CASE(UnexpectedShardsAreIgnored) {
   const EventLog log;
   ConfigStore store(log);
-  const ShardedConfig sharded = CutIntoShards(SampleDocument());
+  const ShardedConfig sharded = SplitIntoShards(SampleDocument());
   store.AddShard(sharded.base.name, sharded.base.body);
   BOOST_TEST(store.FindShard(sharded.base.name) == nullptr);
-  store.Offer({.version = 1, .preset = "peak", .base = sharded.base.name});
+  store.OfferHead({.version = 1, .preset = "peak", .base = sharded.base.name});
   store.AddShard(sharded.base.name, sharded.base.body + " ");
   BOOST_TEST(store.version() == 0U);
 }
--- a/test/crash/crash_guard_test.cc
+++ b/test/crash/crash_guard_test.cc
@@ -40,8 +40,8 @@
 };
 
 void SendReports(Harness& from, Harness& to) {
-  to.guard.OnNews(
-      ToWire(from.guard.TakeNews(), /*complete=*/false, from.clock.Now()),
+  to.guard.OnReports(
+      ToWire(from.guard.TakeNewReports(), /*complete=*/false, from.clock.Now()),
       /*pass_on=*/false);
 }
 
@@ -69,7 +69,7 @@
   BOOST_CHECK(decision.retry_after > seconds(55));
   harness.clock.Advance(decision.retry_after);
   BOOST_CHECK(harness.Decide() == Kind::kRun);
-  harness.guard.OnSurvived(kRequest);
+  harness.guard.OnServerSurvived(kRequest);
   BOOST_CHECK(harness.Decide(/*equal_runs=*/true) == Kind::kRun);
 }
 
@@ -113,8 +113,8 @@
   Harness harness;
   harness.guard.Join();
   BOOST_CHECK(harness.Decide() == Kind::kWait);
-  harness.guard.OnNews(ToWire({}, /*complete=*/true, harness.clock.Now()),
-                       /*pass_on=*/false);
+  harness.guard.OnReports(ToWire({}, /*complete=*/true, harness.clock.Now()),
+                          /*pass_on=*/false);
   BOOST_CHECK(harness.Decide() == Kind::kRun);
   harness.guard.Join();
   harness.clock.Advance(seconds(1));
@@ -130,7 +130,7 @@
   harness.clock.Advance(seconds(2));
   harness.guard.OnServerAnswered(3, harness.clock.Now());
   harness.guard.OnServerAnswered(2, harness.clock.Now());
-  BOOST_CHECK(harness.guard.StandingOf(kRequest) == CrashStanding::kDoubtful);
+  BOOST_CHECK(harness.guard.SuspicionOf(kRequest) == CrashSuspicion::kDoubtful);
 }
 
 // Guards against forgetting a blocked request at entries where it doesn't
@@ -138,12 +138,12 @@
 BOOST_AUTO_TEST_CASE(ArrivalOfABlockedRequestIsReported) {
   Harness harness;
   harness.LoseServers(3);
-  harness.guard.TakeNews();
-  harness.guard.OnArrival(kRequest);
-  BOOST_TEST(harness.guard.TakeNews().empty());
+  harness.guard.TakeNewReports();
+  harness.guard.OnRequestArrived(kRequest);
+  BOOST_TEST(harness.guard.TakeNewReports().empty());
   harness.clock.Advance(std::chrono::minutes(3));
-  harness.guard.OnArrival(kRequest);
-  const std::vector<CrashReport> reports = harness.guard.TakeNews();
+  harness.guard.OnRequestArrived(kRequest);
+  const std::vector<CrashReport> reports = harness.guard.TakeNewReports();
   BOOST_REQUIRE(reports.size() == 1U);
   BOOST_CHECK(reports.front().kind == CrashReport::Kind::kComesAgain);
 }
--- a/test/crash/crash_ledger_test.cc
+++ b/test/crash/crash_ledger_test.cc
@@ -52,13 +52,13 @@
 // Guards against a poison request that is never blocked.
 BOOST_AUTO_TEST_CASE(LossesInTurnBlockARequest) {
   CrashLedger ledger;
-  BOOST_CHECK(ledger.Assess(kRequest).standing == CrashStanding::kClear);
+  BOOST_CHECK(ledger.Assess(kRequest).suspicion == CrashSuspicion::kClear);
   ledger.AddReport(Lost(1, seconds(0), milliseconds(50)), kStart);
-  BOOST_CHECK(ledger.Assess(kRequest).standing == CrashStanding::kSuspect);
+  BOOST_CHECK(ledger.Assess(kRequest).suspicion == CrashSuspicion::kSuspect);
   ledger.AddReport(Lost(2, seconds(1), milliseconds(1050)), kStart);
-  BOOST_CHECK(ledger.Assess(kRequest).standing == CrashStanding::kDoubtful);
+  BOOST_CHECK(ledger.Assess(kRequest).suspicion == CrashSuspicion::kDoubtful);
   ledger.AddReport(Lost(3, seconds(2), milliseconds(2050)), kStart);
-  BOOST_CHECK(ledger.Assess(kRequest).standing == CrashStanding::kBlocked);
+  BOOST_CHECK(ledger.Assess(kRequest).suspicion == CrashSuspicion::kBlocked);
 }
 
 // Guards against blaming a request that runs everywhere for servers that end
@@ -71,7 +71,7 @@
   }
   const CrashAssessment assessment = ledger.Assess(kRequest);
   BOOST_TEST(assessment.in_turn == 1U);
-  BOOST_CHECK(assessment.standing == CrashStanding::kDoubtful);
+  BOOST_CHECK(assessment.suspicion == CrashSuspicion::kDoubtful);
 }
 
 // Guards against a harmless request that stays under suspicion after a server
@@ -79,7 +79,7 @@
 BOOST_AUTO_TEST_CASE(AnswerClearsEarlierLosses) {
   CrashLedger ledger = MakeBlockedLedger();
   BOOST_TEST(ledger.AddReport(Survived(seconds(5)), kStart + seconds(5)));
-  BOOST_CHECK(ledger.Assess(kRequest).standing == CrashStanding::kClear);
+  BOOST_CHECK(ledger.Assess(kRequest).suspicion == CrashSuspicion::kClear);
   // A late report of a loss before the answer changes nothing.
   BOOST_TEST(!ledger.AddReport(Lost(9, seconds(3), seconds(4)), kStart));
   BOOST_TEST(ledger.AddReport(Lost(9, seconds(6), seconds(7)), kStart));
@@ -89,9 +89,9 @@
 BOOST_AUTO_TEST_CASE(LossIsVoidIfTheServerAnswersLater) {
   CrashLedger ledger = MakeBlockedLedger();
   BOOST_TEST(!ledger.AddReport(ServerLives(3, seconds(2)), kStart));
-  BOOST_CHECK(ledger.Assess(kRequest).standing == CrashStanding::kBlocked);
+  BOOST_CHECK(ledger.Assess(kRequest).suspicion == CrashSuspicion::kBlocked);
   BOOST_TEST(ledger.AddReport(ServerLives(3, seconds(3)), kStart + seconds(3)));
-  BOOST_CHECK(ledger.Assess(kRequest).standing == CrashStanding::kDoubtful);
+  BOOST_CHECK(ledger.Assess(kRequest).suspicion == CrashSuspicion::kDoubtful);
   BOOST_TEST(!ledger.HasLossOf(3));
   BOOST_TEST(!ledger.AddReport(
       Lost(3, seconds(2), seconds(2) + milliseconds(50)), kStart));
@@ -124,7 +124,7 @@
   BOOST_TEST(ledger.AddReport(
       {.kind = Kind::kComesAgain, .request = kRequest, .ended = seen}, seen));
   ledger.ForgetExpired(kStart + minutes(12));
-  BOOST_CHECK(ledger.Assess(kRequest).standing == CrashStanding::kBlocked);
+  BOOST_CHECK(ledger.Assess(kRequest).suspicion == CrashSuspicion::kBlocked);
   ledger.ForgetExpired(seen + minutes(10) + seconds(1));
   BOOST_TEST(ledger.size() == 0U);
   BOOST_TEST(!ledger.HasLossOf(1));
@@ -141,7 +141,7 @@
                      kStart + seconds(11) + milliseconds(i));
   }
   BOOST_TEST(ledger.size() == 10U);
-  BOOST_CHECK(ledger.Assess(kRequest).standing == CrashStanding::kBlocked);
+  BOOST_CHECK(ledger.Assess(kRequest).suspicion == CrashSuspicion::kBlocked);
   for (uint64_t i = 0; i < 100; ++i) {
     const Duration sent = seconds(20 + i);
     ledger.AddReport(Lost(5000 + i, sent, sent + milliseconds(50)),
--- a/test/dispatch/caller_feed_test.cc
+++ b/test/dispatch/caller_subscriptions_test.cc
@@ -1,4 +1,4 @@
-#include "lavenderkeel/dispatch/caller_feed.h"
+#include "lavenderkeel/dispatch/caller_subscriptions.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -30,13 +30,13 @@
 
 struct SubscribedCaller {
   Outbox outbox;
-  CallerFeed feed{outbox};
-  SubscriptionId id = feed.Open(7, {.hi = 1, .lo = 1}, "key", false);
+  CallerSubscriptions subscriptions{outbox};
+  SubscriptionId id = subscriptions.Open(7, {.hi = 1, .lo = 1}, "key", false);
 
-  SubscribedCaller() { feed.SetSource(id, 5); }
+  SubscribedCaller() { subscriptions.SetSource(id, 5); }
   std::string Body() {
     for (const Action& action : outbox.Take()) {
-      if (const auto* whole = std::get_if<ReplyWhole>(&action)) {
+      if (const auto* whole = std::get_if<ReplyComplete>(&action)) {
         return whole->body;
       }
     }
@@ -51,12 +51,12 @@
 // order.
 BOOST_AUTO_TEST_CASE(OnlyTheExpectedOffsetOfTheCurrentSourceIsAccepted) {
   SubscribedCaller caller;
-  caller.feed.OnChunk(5, ChunkAt(caller.id, 0, 50));
-  caller.feed.OnChunk(4, ChunkAt(caller.id, 50, kAnswer.size()));
-  caller.feed.OnChunk(5, ChunkAt(caller.id, 0, 50));
-  caller.feed.OnChunk(5, ChunkAt(caller.id, 60, kAnswer.size()));
-  caller.feed.OnChunk(5, ChunkAt(caller.id, 50, kAnswer.size()));
-  caller.feed.OnFinish(FinishOf(caller.id));
+  caller.subscriptions.OnChunk(5, ChunkAt(caller.id, 0, 50));
+  caller.subscriptions.OnChunk(4, ChunkAt(caller.id, 50, kAnswer.size()));
+  caller.subscriptions.OnChunk(5, ChunkAt(caller.id, 0, 50));
+  caller.subscriptions.OnChunk(5, ChunkAt(caller.id, 60, kAnswer.size()));
+  caller.subscriptions.OnChunk(5, ChunkAt(caller.id, 50, kAnswer.size()));
+  caller.subscriptions.OnFinish(FinishOf(caller.id));
   BOOST_TEST(caller.Body().find("\"text\":\"one two\"") != std::string::npos);
 }
 
@@ -64,8 +64,8 @@
 // caller gets server_failed if a part is missing at the end.
 BOOST_AUTO_TEST_CASE(TruncatedAnswerIsReportedAsFailed) {
   SubscribedCaller caller;
-  caller.feed.OnChunk(5, ChunkAt(caller.id, 0, 50));
-  caller.feed.OnFinish(FinishOf(caller.id));
+  caller.subscriptions.OnChunk(5, ChunkAt(caller.id, 0, 50));
+  caller.subscriptions.OnFinish(FinishOf(caller.id));
   BOOST_TEST(caller.Body().find("server_failed") != std::string::npos);
 }
 
--- a/test/dispatch/crashing_lookup_test.cc
+++ b/test/dispatch/crashing_lookup_test.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-using fuzz::World;
+using fuzz::Simulation;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -23,7 +23,7 @@
 struct Traffic {
   Duration duration = seconds(20);
   /// Interval between two lookups that crash their engine; zero: none are sent.
-  Duration deadly_every = milliseconds(250);
+  Duration crashing_every = milliseconds(250);
   Duration harmless_every = milliseconds(80);
   /// The crashing requests are non-repeatable work.
   bool is_non_repeatable = false;
@@ -40,43 +40,45 @@
 };
 
 /// Selects the next live entry, round robin.
-size_t NextEntry(const World& world, size_t& next) {
+size_t NextEntry(const Simulation& simulation, size_t& next) {
   do {
-    next = (next + 1) % world.entries();
-  } while (!world.alive(next));
+    next = (next + 1) % simulation.entries();
+  } while (!simulation.alive(next));
   return next;
 }
 
-Counts RunTraffic(World& world, const Traffic& traffic) {
-  world.SetDeadly(kCrashingPrompt);
-  const size_t before = world.oracle().Count(ResultCode::kAnswered);
+Counts RunTraffic(Simulation& simulation, const Traffic& traffic) {
+  simulation.SetCrashing(kCrashingPrompt);
+  const size_t before = simulation.oracle().Count(ResultCode::kAnswered);
   constexpr uint32_t kTokens = 5;
   constexpr Duration kStep = milliseconds(10);
   Counts counts;
   size_t next = 0;
   for (Duration now{}; now < traffic.duration; now += kStep) {
     traffic.on_step(now);
-    if (traffic.deadly_every > Duration::zero() &&
-        now % traffic.deadly_every == Duration::zero()) {
-      world.Submit(NextEntry(world, next), world.NewKey(), kCrashingPrompt,
-                   /*repeatable=*/!traffic.is_non_repeatable, kTokens);
+    if (traffic.crashing_every > Duration::zero() &&
+        now % traffic.crashing_every == Duration::zero()) {
+      simulation.Submit(NextEntry(simulation, next), simulation.NewKey(),
+                        kCrashingPrompt,
+                        /*repeatable=*/!traffic.is_non_repeatable, kTokens);
     }
     if (now % traffic.harmless_every == Duration::zero()) {
-      world.Submit(NextEntry(world, next), world.NewKey(),
-                   "r" + std::to_string(++counts.harmless) + "x",
-                   /*repeatable=*/true, kTokens);
+      simulation.Submit(NextEntry(simulation, next), simulation.NewKey(),
+                        "r" + std::to_string(++counts.harmless) + "x",
+                        /*repeatable=*/true, kTokens);
     }
-    world.RunFor(kStep);
+    simulation.RunFor(kStep);
   }
-  world.RunUntil([&] { return world.oracle().open() == 0; }, seconds(60));
-  counts.answered = world.oracle().Count(ResultCode::kAnswered) - before;
+  simulation.RunUntil([&] { return simulation.oracle().open() == 0; },
+                      seconds(60));
+  counts.answered = simulation.oracle().Count(ResultCode::kAnswered) - before;
   return counts;
 }
 
 /// Counts engines that crashed later than kPropagationTime after the third
 /// crash.
-size_t CountLateCrashes(const World& world) {
-  const std::vector<TimePoint>& crashes = world.engine_ends();
+size_t CountLateCrashes(const Simulation& simulation) {
+  const std::vector<TimePoint>& crashes = simulation.engine_ends();
   constexpr size_t kThirdCrash = 2;
   return static_cast<size_t>(std::ranges::count_if(crashes, [&](TimePoint at) {
     return crashes.size() > kThirdCrash &&
@@ -84,9 +86,9 @@
   }));
 }
 
-void CheckInvariants(World& world) {
-  BOOST_TEST(world.oracle().open() == 0U);
-  for (const std::string& violation : world.oracle().violations()) {
+void CheckInvariants(Simulation& simulation) {
+  BOOST_TEST(simulation.oracle().open() == 0U);
+  for (const std::string& violation : simulation.oracle().violations()) {
     // The oracle identifies requests by their prompt; the crashing ones share
     // one.
     if (!violation.starts_with(kCrashingPrompt)) {
@@ -100,112 +102,115 @@
 // Guards against a repeatedly sent lookup that crashes one engine after the
 // other and fails the harmless lookups that run there.
 BOOST_AUTO_TEST_CASE(CrashingLookupIsStoppedByAllEntries) {
-  World world({.entries = 3, .agents = 8, .seed = 5});
-  const Counts counts = RunTraffic(world, {});
-  BOOST_TEST(CountLateCrashes(world) <= kMaxRetries);
+  Simulation simulation({.entries = 3, .agents = 8, .seed = 5});
+  const Counts counts = RunTraffic(simulation, {});
+  BOOST_TEST(CountLateCrashes(simulation) <= kMaxRetries);
   BOOST_TEST(counts.answered_share() >= 0.95);
-  CheckInvariants(world);
+  CheckInvariants(simulation);
 }
 
 // Guards against the same failure with non-repeatable work that is sent under a
 // new key each time.
 BOOST_AUTO_TEST_CASE(CrashingCheckIsStoppedByAllEntries) {
-  World world({.entries = 3, .agents = 8, .seed = 5});
-  const Counts counts = RunTraffic(world, {.is_non_repeatable = true});
-  BOOST_TEST(CountLateCrashes(world) <= kMaxRetries);
+  Simulation simulation({.entries = 3, .agents = 8, .seed = 5});
+  const Counts counts = RunTraffic(simulation, {.is_non_repeatable = true});
+  BOOST_TEST(CountLateCrashes(simulation) <= kMaxRetries);
   BOOST_TEST(counts.answered_share() >= 0.95);
-  CheckInvariants(world);
+  CheckInvariants(simulation);
 }
 
 // Guards against the same failure with a single entry, which gets no reports
 // from others.
 BOOST_AUTO_TEST_CASE(CrashingLookupIsStoppedByOneEntry) {
-  World world({.entries = 1, .agents = 8, .seed = 5});
-  const Counts counts = RunTraffic(world, {});
-  BOOST_TEST(CountLateCrashes(world) <= kMaxRetries);
+  Simulation simulation({.entries = 1, .agents = 8, .seed = 5});
+  const Counts counts = RunTraffic(simulation, {});
+  BOOST_TEST(CountLateCrashes(simulation) <= kMaxRetries);
   BOOST_TEST(counts.answered_share() >= 0.95);
-  CheckInvariants(world);
+  CheckInvariants(simulation);
 }
 
 // Guards against the same failure while entries restart one after the other and
 // lose their crash reports.
 BOOST_AUTO_TEST_CASE(CrashingLookupIsStoppedThoughEntriesRestart) {
-  World world({.entries = 3, .agents = 8, .seed = 5});
-  RunTraffic(world,
+  Simulation simulation({.entries = 3, .agents = 8, .seed = 5});
+  RunTraffic(simulation,
              {.duration = seconds(40), .on_step = [&](Duration now) {
-                for (size_t entry = 0; entry < world.entries(); ++entry) {
+                for (size_t entry = 0; entry < simulation.entries(); ++entry) {
                   const auto turn = static_cast<int64_t>(entry);
                   if (now == seconds(8) * (turn + 1)) {
-                    world.Kill(entry, /*silently=*/false);
+                    simulation.Kill(entry, /*silently=*/false);
                   } else if (now == seconds(8) * (turn + 1) + seconds(1)) {
-                    world.Restart(entry);
+                    simulation.Restart(entry);
                   }
                 }
               }});
-  BOOST_TEST(CountLateCrashes(world) <= kMaxRetries);
-  CheckInvariants(world);
+  BOOST_TEST(CountLateCrashes(simulation) <= kMaxRetries);
+  CheckInvariants(simulation);
 }
 
 // Guards against crash reports that depend on the platform.
 BOOST_AUTO_TEST_CASE(CrashingLookupIsStoppedWhileThePlatformIsDown) {
-  World world({.entries = 3, .agents = 8, .seed = 5});
-  world.platform().set_mode(fakes::PlatformCore::Mode::kOutage);
-  const Counts counts = RunTraffic(world, {});
-  BOOST_TEST(CountLateCrashes(world) <= kMaxRetries);
+  Simulation simulation({.entries = 3, .agents = 8, .seed = 5});
+  simulation.platform().set_mode(fakes::PlatformCore::Mode::kOutage);
+  const Counts counts = RunTraffic(simulation, {});
+  BOOST_TEST(CountLateCrashes(simulation) <= kMaxRetries);
   BOOST_TEST(counts.answered_share() >= 0.95);
-  CheckInvariants(world);
+  CheckInvariants(simulation);
 }
 
 // Guards against refusing equal lookups while engines crash for another reason.
 BOOST_AUTO_TEST_CASE(EqualLookupsAreServedWhileEnginesCrash) {
-  World world({.entries = 3, .agents = 8, .seed = 5});
+  Simulation simulation({.entries = 3, .agents = 8, .seed = 5});
   size_t submitted = 0;
   size_t next = 0;
-  RunTraffic(world,
-             {.deadly_every = Duration::zero(), .on_step = [&](Duration now) {
+  RunTraffic(simulation,
+             {.crashing_every = Duration::zero(), .on_step = [&](Duration now) {
                 if (now % milliseconds(60) == Duration::zero()) {
-                  world.Submit(NextEntry(world, next), world.NewKey(), "same",
-                               /*repeatable=*/true, 5);
+                  simulation.Submit(NextEntry(simulation, next),
+                                    simulation.NewKey(), "same",
+                                    /*repeatable=*/true, 5);
                   ++submitted;
                 }
                 const auto turn = static_cast<size_t>(now / seconds(1));
                 if (now % seconds(1) == Duration::zero()) {
-                  world.CrashEngine(turn % 8, seconds(2));
+                  simulation.CrashEngine(turn % 8, seconds(2));
                 }
               }});
-  BOOST_TEST(world.oracle().Count(ResultCode::kCrashesServers) == 0U);
-  BOOST_TEST(world.engine_ends().size() >= 20U);
-  BOOST_TEST(world.oracle().Count(ResultCode::kAnswered) >= submitted);
-  CheckInvariants(world);
+  BOOST_TEST(simulation.oracle().Count(ResultCode::kCrashesServers) == 0U);
+  BOOST_TEST(simulation.engine_ends().size() >= 20U);
+  BOOST_TEST(simulation.oracle().Count(ResultCode::kAnswered) >= submitted);
+  CheckInvariants(simulation);
 }
 
 // Guards against agents that have lost their engine, so that all their slots
 // are free, and attract the requests of the other agents.
 BOOST_AUTO_TEST_CASE(LookupsAreServedWhileEnginesAreDown) {
-  World world({.entries = 2, .agents = 6, .seed = 5});
+  Simulation simulation({.entries = 2, .agents = 6, .seed = 5});
   for (const size_t agent : {0U, 1U, 2U}) {
-    world.CrashEngine(agent, std::chrono::hours(1));
+    simulation.CrashEngine(agent, std::chrono::hours(1));
   }
-  const Counts counts = RunTraffic(world, {.deadly_every = Duration::zero()});
+  const Counts counts =
+      RunTraffic(simulation, {.crashing_every = Duration::zero()});
   BOOST_TEST(counts.answered == counts.harmless);
-  CheckInvariants(world);
+  CheckInvariants(simulation);
 }
 
 // Guards against an agent that stays unused after its engine has restarted.
 BOOST_AUTO_TEST_CASE(RestartedEngineIsUsedAgain) {
-  World world({.entries = 1, .agents = 1, .seed = 5});
-  world.CrashEngine(0, seconds(10));
-  world.Submit(0, world.NewKey(), "lost", /*repeatable=*/true, 5);
-  world.RunFor(seconds(13));
-  const size_t before = world.oracle().Count(ResultCode::kAnswered);
+  Simulation simulation({.entries = 1, .agents = 1, .seed = 5});
+  simulation.CrashEngine(0, seconds(10));
+  simulation.Submit(0, simulation.NewKey(), "lost", /*repeatable=*/true, 5);
+  simulation.RunFor(seconds(13));
+  const size_t before = simulation.oracle().Count(ResultCode::kAnswered);
   for (int i = 0; i < 10; ++i) {
-    world.Submit(0, world.NewKey(), "r" + std::to_string(i) + "x",
-                 /*repeatable=*/true, 5);
-    world.RunFor(milliseconds(300));
+    simulation.Submit(0, simulation.NewKey(), "r" + std::to_string(i) + "x",
+                      /*repeatable=*/true, 5);
+    simulation.RunFor(milliseconds(300));
   }
-  world.RunUntil([&] { return world.oracle().open() == 0; }, seconds(10));
-  BOOST_TEST(world.oracle().Count(ResultCode::kAnswered) == before + 10);
-  CheckInvariants(world);
+  simulation.RunUntil([&] { return simulation.oracle().open() == 0; },
+                      seconds(10));
+  BOOST_TEST(simulation.oracle().Count(ResultCode::kAnswered) == before + 10);
+  CheckInvariants(simulation);
 }
 
 }  // namespace lavenderkeel
--- a/test/fakes/fake_backend.cc
+++ b/test/fakes/fake_backend.cc
@@ -48,9 +48,10 @@
   void OnRequest(const HttpRequest& request) {
     const std::string expected = request.header("Expect-Instance").value_or("");
     if (expected != id_) {
-      http_.Handle(lavenderkeel::ReplyWhole{.caller = request.id,
-                                            .status = kMisdirected,
-                                            .headers = {{"Instance-Id", id_}}});
+      http_.Handle(
+          lavenderkeel::ReplyComplete{.caller = request.id,
+                                      .status = kMisdirected,
+                                      .headers = {{"Instance-Id", id_}}});
       return;
     }
     Running run{.request = request.header("Request-Id").value_or(""),
@@ -90,9 +91,9 @@
         return false;
       }
       http_.Handle(
-          lavenderkeel::ReplyWhole{.caller = caller,
-                                   .headers = Headers(run),
-                                   .body = "answer to " + run.request});
+          lavenderkeel::ReplyComplete{.caller = caller,
+                                      .headers = Headers(run),
+                                      .body = "answer to " + run.request});
       return true;
     }
     if (run.next > kEvents) {
@@ -100,9 +101,9 @@
       return true;
     }
     http_.Handle(
-        lavenderkeel::ReplyData{.caller = caller,
-                                .bytes = "id: " + std::to_string(run.next) +
-                                         "\ndata: " + run.request + "\n\n"});
+        lavenderkeel::ReplyChunk{.caller = caller,
+                                 .bytes = "id: " + std::to_string(run.next) +
+                                          "\ndata: " + run.request + "\n\n"});
     ++run.next;
     return false;
   }
--- a/test/fakes/fake_engine.cc
+++ b/test/fakes/fake_engine.cc
@@ -17,7 +17,7 @@
 using lavenderkeel::EventLoop;
 using lavenderkeel::HttpRequest;
 using lavenderkeel::HttpServer;
-using lavenderkeel::ReplyWhole;
+using lavenderkeel::ReplyComplete;
 using lavenderkeel::SystemClock;
 using lavenderkeel::fakes::EngineCore;
 namespace json = boost::json;
@@ -154,7 +154,8 @@
         ended.push_back(caller);
       }
       if (!bytes.empty()) {
-        http_.Handle(lavenderkeel::ReplyData{.caller = caller, .bytes = bytes});
+        http_.Handle(
+            lavenderkeel::ReplyChunk{.caller = caller, .bytes = bytes});
       }
     }
     for (const CallerId caller : ended) {
@@ -164,10 +165,11 @@
   }
 
   void Reply(CallerId caller, int status, std::string body) {
-    http_.Handle(ReplyWhole{.caller = caller,
-                            .status = status,
-                            .headers = {{"Content-Type", "application/json"}},
-                            .body = std::move(body)});
+    http_.Handle(
+        ReplyComplete{.caller = caller,
+                      .status = status,
+                      .headers = {{"Content-Type", "application/json"}},
+                      .body = std::move(body)});
   }
 
   bool is_service_;
--- a/test/fakes/fake_platform.cc
+++ b/test/fakes/fake_platform.cc
@@ -39,8 +39,8 @@
                .on_gone = [](CallerId) {},
                .on_too_large =
                    [this](CallerId caller) {
-                     http_.Handle(lavenderkeel::ReplyWhole{.caller = caller,
-                                                           .status = 413});
+                     http_.Handle(lavenderkeel::ReplyComplete{.caller = caller,
+                                                              .status = 413});
                    }}) {}
 
   int Run(const std::string& listen, const std::string& ready_file) {
@@ -53,11 +53,11 @@
   void OnRequest(const HttpRequest& request) {
     if (request.path.starts_with("/fault/")) {
       SetFault(request);
-      http_.Handle(lavenderkeel::ReplyWhole{.caller = request.id});
+      http_.Handle(lavenderkeel::ReplyComplete{.caller = request.id});
       return;
     }
     if (request.path == "/calls") {
-      http_.Handle(lavenderkeel::ReplyWhole{
+      http_.Handle(lavenderkeel::ReplyComplete{
           .caller = request.id, .body = std::to_string(core_.calls())});
       return;
     }
@@ -120,7 +120,7 @@
       http_.Handle(lavenderkeel::ReplyAbort{.caller = caller});
       return;
     }
-    http_.Handle(lavenderkeel::ReplyWhole{
+    http_.Handle(lavenderkeel::ReplyComplete{
         .caller = caller,
         .status = reply.status,
         .headers = {{"ETag", "\"" + reply.etag + "\""}},
--- a/test/fakes/fake_store.cc
+++ b/test/fakes/fake_store.cc
@@ -185,7 +185,7 @@
   }
 
   void Answer(CallerId caller, const json::object& body, int status = 200) {
-    http_.Handle(lavenderkeel::ReplyWhole{
+    http_.Handle(lavenderkeel::ReplyComplete{
         .caller = caller,
         .status = status,
         .headers = {{"Content-Type", "application/json"}},
--- a/test/fakes/fleet_world.cc
+++ b/test/fakes/fleet_simulation.cc
@@ -1,4 +1,4 @@
-#include "test/fakes/fleet_world.h"
+#include "test/fakes/fleet_simulation.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-FleetWorld::FleetWorld(const Options& options)
+FleetSimulation::FleetSimulation(const Options& options)
     : options_(options), log_(options.log) {
   objects_[{"config", "main"}] = {.name = "main", .revision = ++revision_};
   if (options_.with_server) {
@@ -30,9 +30,9 @@
   }
 }
 
-FleetWorld::~FleetWorld() = default;
+FleetSimulation::~FleetSimulation() = default;
 
-InstanceInfo FleetWorld::InfoOf(size_t entry) const {
+InstanceInfo FleetSimulation::InfoOf(size_t entry) const {
   const bool strong = entry < At(options_.strong);
   return {.id = {.instance = "entry-" + std::to_string(entry),
                  .incarnation = processes_[entry].incarnation},
@@ -43,13 +43,13 @@
           .processor_share = strong ? kStrongProcessorShare : 1.0};
 }
 
-ForwardSource FleetWorld::SourceOf(size_t entry) {
+ForwardSource FleetSimulation::SourceOf(size_t entry) {
   return {.config_kind = "config",
           .config_object = "main",
           .server_kind = "servers",
           .decode_table =
               [this](const std::string&) -> leaf::result<RouteTableContent> {
-            RouteTableContent content = ForwardWorld::Table();
+            RouteTableContent content = ForwardSimulation::Table();
             content.teams.front().rate = options_.rate;
             return content;
           },
@@ -89,7 +89,7 @@
               }};
 }
 
-void FleetWorld::WriteStatus(
+void FleetSimulation::WriteStatus(
     size_t entry,
     const RolloutOrder& order,
     const RolloutRecord& record,
@@ -117,7 +117,7 @@
       });
 }
 
-bool FleetWorld::Answer(const WaitingRead& waiting) {
+bool FleetSimulation::Answer(const WaitingRead& waiting) {
   ObjectReadResult result;
   if (!store_down_) {
     result = {.outcome = ObjectReadResult::Outcome::kOk, .revision = revision_};
@@ -143,26 +143,26 @@
   return true;
 }
 
-void FleetWorld::AnswerWatches() {
+void FleetSimulation::AnswerWatches() {
   std::erase_if(watches_,
                 [this](const WaitingRead& waiting) { return Answer(waiting); });
 }
 
-void FleetWorld::PutServer(const std::string& name,
-                           bool draining,
-                           const std::string& address,
-                           const std::string& version) {
+void FleetSimulation::PutServer(const std::string& name,
+                                bool draining,
+                                const std::string& address,
+                                const std::string& version) {
   PutObject("servers", name,
             (draining ? "draining " : "") + version + " " + address);
 }
 
-void FleetWorld::RemoveServer(const std::string& name) {
+void FleetSimulation::RemoveServer(const std::string& name) {
   RemoveObject("servers", name);
 }
 
-void FleetWorld::PutObject(const std::string& kind,
-                           const std::string& name,
-                           const std::string& content) {
+void FleetSimulation::PutObject(const std::string& kind,
+                                const std::string& name,
+                                const std::string& content) {
   StoredObject& object = objects_[{kind, name}];
   object.revision = ++revision_;
   if (object.name.empty() || object.removed) {
@@ -172,20 +172,20 @@
   AnswerWatches();
 }
 
-void FleetWorld::RemoveObject(const std::string& kind,
-                              const std::string& name) {
+void FleetSimulation::RemoveObject(const std::string& kind,
+                                   const std::string& name) {
   objects_[{kind, name}] = {
       .name = name, .revision = ++revision_, .removed = true};
   AnswerWatches();
 }
 
-std::string FleetWorld::StatusOf(const std::string& kind,
-                                 const std::string& name) const {
+std::string FleetSimulation::StatusOf(const std::string& kind,
+                                      const std::string& name) const {
   const auto found = objects_.find({kind, name});
   return found == objects_.end() ? "" : found->second.status;
 }
 
-void FleetWorld::set_cut(int a, int b, bool cut) {
+void FleetSimulation::set_cut(int a, int b, bool cut) {
   const std::pair<size_t, size_t> pair = std::minmax(At(a), At(b));
   if (cut) {
     partitions_.insert(pair);
@@ -194,12 +194,13 @@
   }
 }
 
-void FleetWorld::In(int entry, const std::function<void(ForwardNode&)>& act) {
+void FleetSimulation::In(int entry,
+                         const std::function<void(ForwardNode&)>& act) {
   act(node(entry));
   ExecuteActions(At(entry));
 }
 
-void FleetWorld::Start(int entry) {
+void FleetSimulation::Start(int entry) {
   Process& process = processes_[At(entry)];
   // Calendar time of the start in microseconds, as for real processes.
   process.incarnation = static_cast<uint64_t>(
@@ -219,7 +220,7 @@
   ExecuteActions(At(entry));
 }
 
-void FleetWorld::Kill(int entry) {
+void FleetSimulation::Kill(int entry) {
   processes_[At(entry)].node.reset();
   std::vector<LinkId> dropped;
   for (const auto& [link, state] : links_) {
@@ -232,7 +233,7 @@
   }
 }
 
-void FleetWorld::Advance(Duration by) {
+void FleetSimulation::Advance(Duration by) {
   const TimePoint end = clock_.Now() + by;
   TimePoint tick = clock_.Now();
   while (clock_.Now() < end) {
@@ -255,12 +256,12 @@
   }
 }
 
-void FleetWorld::Schedule(std::function<void()> act) {
+void FleetSimulation::Schedule(std::function<void()> act) {
   deliveries_.push_back(
-      {.at = clock_.Now() + options_.way, .act = std::move(act)});
+      {.at = clock_.Now() + options_.network_delay, .act = std::move(act)});
 }
 
-void FleetWorld::ExecuteActions(size_t entry) {
+void FleetSimulation::ExecuteActions(size_t entry) {
   Process& process = processes_[entry];
   for (Action& action : process.node->outbox().Take()) {
     if (const auto* dial = std::get_if<Dial>(&action)) {
@@ -271,10 +272,10 @@
     } else if (auto* send = std::get_if<SendMessage>(&action)) {
       ++process.sent;
       if (const auto* known = std::get_if<KnownEntries>(&send->message)) {
-        entries_told_ += known->entries.size();
+        list_entries_sent_ += known->entries.size();
       }
       if (const auto* feed = std::get_if<ServerFeed>(&send->message)) {
-        servers_told_ += feed->objects.size();
+        server_updates_sent_ += feed->objects.size();
       }
       auto message = std::make_shared<Message>(std::move(send->message));
       Schedule([this, link = send->link, message] {
@@ -293,7 +294,7 @@
   }
 }
 
-void FleetWorld::Connect(size_t from, const std::string& address) {
+void FleetSimulation::Connect(size_t from, const std::string& address) {
   const auto found = std::ranges::find(processes_, address, &Process::address);
   if (processes_[from].node == nullptr) {
     return;
@@ -314,7 +315,7 @@
   ExecuteActions(from);
 }
 
-void FleetWorld::CloseLinkOf(LinkId link) {
+void FleetSimulation::CloseLinkOf(LinkId link) {
   const auto found = links_.find(link);
   if (found == links_.end()) {
     return;
@@ -330,9 +331,9 @@
   });
 }
 
-ExchangeId FleetWorld::Request(int entry,
-                               const std::string& route,
-                               const std::string& body) {
+ExchangeId FleetSimulation::Request(int entry,
+                                    const std::string& route,
+                                    const std::string& body) {
   Process& process = processes_[At(entry)];
   const ExchangeId exchange = ++last_exchange_;
   process.node->controller().OnRequest(
@@ -348,7 +349,7 @@
   return exchange;
 }
 
-int FleetWorld::Refused(int entry) const {
+int FleetSimulation::Refused(int entry) const {
   static constexpr int kTooManyRequests = 429;
   const Process& process = processes_[At(entry)];
   const auto refused = std::ranges::count_if(
@@ -357,10 +358,10 @@
   return static_cast<int>(refused);
 }
 
-void FleetWorld::ResetCounts() {
+void FleetSimulation::ResetCounts() {
   store_reads_ = 0;
-  entries_told_ = 0;
-  servers_told_ = 0;
+  list_entries_sent_ = 0;
+  server_updates_sent_ = 0;
   for (Process& process : processes_) {
     process.sent = 0;
     process.received = 0;
--- a/test/fakes/fleet_world.h
+++ b/test/fakes/fleet_simulation.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_TEST_FAKES_FLEET_WORLD_H_
-#define LAVENDERKEEL_TEST_FAKES_FLEET_WORLD_H_
+#ifndef LAVENDERKEEL_TEST_FAKES_FLEET_SIMULATION_H_
+#define LAVENDERKEEL_TEST_FAKES_FLEET_SIMULATION_H_
 
 #include <cstdint>
 #include <deque>
@@ -11,14 +11,14 @@
 #include <vector>
 
 #include "lavenderkeel/forward/forward_node.h"
-#include "test/fakes/forward_world.h"
+#include "test/fakes/forward_simulation.h"
 
 namespace lavenderkeel::fakes {
 
 /// Simulation of forwarding entries with in-memory links, a virtual clock, and
 /// a store with one configuration, servers and rollouts. A link that is up
 /// loses no message.
-class FleetWorld {
+class FleetSimulation {
  public:
   struct Options {
     int entries = 4;
@@ -33,12 +33,12 @@
     TeamRate rate;
     EventLog log = {};
     /// Latency of messages.
-    Duration way = std::chrono::milliseconds(1);
+    Duration network_delay = std::chrono::milliseconds(1);
     ForwardNode::Options node;
   };
 
-  explicit FleetWorld(const Options& options);
-  ~FleetWorld();
+  explicit FleetSimulation(const Options& options);
+  ~FleetSimulation();
 
   /// Advances the virtual clock in steps of a millisecond.
   void Advance(Duration by);
@@ -89,9 +89,9 @@
   uint64_t Sent(int entry) const { return processes_[At(entry)].sent; }
   uint64_t Received(int entry) const { return processes_[At(entry)].received; }
   /// Number of entries in lists that were sent since the last ResetCounts.
-  uint64_t entries_told() const { return entries_told_; }
+  uint64_t list_entries_sent() const { return list_entries_sent_; }
   /// Number of servers in lists and changes that were sent since then.
-  uint64_t servers_told() const { return servers_told_; }
+  uint64_t server_updates_sent() const { return server_updates_sent_; }
   void ResetCounts();
   int entries() const { return options_.entries; }
 
@@ -152,8 +152,8 @@
   std::vector<WaitingRead> watches_;
   uint64_t revision_ = 0;
   uint64_t store_reads_ = 0;
-  uint64_t entries_told_ = 0;
-  uint64_t servers_told_ = 0;
+  uint64_t list_entries_sent_ = 0;
+  uint64_t server_updates_sent_ = 0;
   bool store_down_ = false;
   std::set<std::pair<size_t, size_t>> partitions_;
   LinkId last_link_ = 0;
@@ -162,4 +162,4 @@
 
 }  // namespace lavenderkeel::fakes
 
-#endif  // LAVENDERKEEL_TEST_FAKES_FLEET_WORLD_H_
+#endif  // LAVENDERKEEL_TEST_FAKES_FLEET_SIMULATION_H_
--- a/test/fakes/forward_world.cc
+++ b/test/fakes/forward_simulation.cc
@@ -1,4 +1,4 @@
-#include "test/fakes/forward_world.h"
+#include "test/fakes/forward_simulation.h"
 
 #include <utility>
 
@@ -27,7 +27,8 @@
   clients[exchange].fields = head.fields;
 }
 
-void FakeForwardPort::RespondPart(ExchangeId exchange, std::string_view bytes) {
+void FakeForwardPort::RespondChunk(ExchangeId exchange,
+                                   std::string_view bytes) {
   clients[exchange].body += bytes;
 }
 
@@ -39,43 +40,47 @@
   clients[exchange].aborted = true;
 }
 
-void FakeForwardPort::Send(AttemptId attempt, Sending sending) {
+void FakeForwardPort::Send(AttemptId attempt, OutgoingRequest outgoing) {
   sent.push_back({.attempt = attempt,
-                  .address = std::move(sending.address),
-                  .bytes = std::move(sending.bytes),
-                  .reuse_within = sending.reuse_within});
+                  .address = std::move(outgoing.address),
+                  .bytes = std::move(outgoing.bytes),
+                  .max_reuse_idle_time = outgoing.max_reuse_idle_time});
 }
 
 void FakeForwardPort::Cancel(AttemptId attempt) {
-  for (SentAttempt& sending : sent) {
-    sending.cancelled = sending.cancelled || sending.attempt == attempt;
+  for (SentAttempt& outgoing : sent) {
+    outgoing.cancelled = outgoing.cancelled || outgoing.attempt == attempt;
   }
 }
 
-ForwardWorld::ForwardWorld() : ForwardWorld(Options()) {}
-
-ForwardWorld::ForwardWorld(const Options& options)
-    : gate({},
-           directory,
-           clock,
-           [this](const std::string& requester, const SlotGrant& grant) {
-             const bool wanted = slots.OnGrant(requester, grant.attempt) &&
-                                 controller.OnSlot(requester, grant);
-             if (!wanted) {
-               gate.Done(requester, grant.attempt, {});
-             }
-           }),
+ForwardSimulation::ForwardSimulation() : ForwardSimulation(Options()) {}
+
+ForwardSimulation::ForwardSimulation(const Options& options)
+    : slot_scheduler(
+          {},
+          directory,
+          clock,
+          [this](const std::string& requester, const SlotGrant& grant) {
+            const bool wanted = slots.OnGrant(requester, grant.attempt) &&
+                                controller.OnSlotGranted(requester, grant);
+            if (!wanted) {
+              slot_scheduler.ReleaseSlot(requester, grant.attempt, {});
+            }
+          }),
       slots({.self = "self"},
             directory,
             clock,
             log,
-            {.ask = [this](const std::string& name,
-                           const SlotAsk& ask) { gate.Ask(name, ask); },
-             .done =
+            {.request_slot =
+                 [this](const std::string& name,
+                        const SlotRequest& slot_request) {
+                   slot_scheduler.RequestSlot(name, slot_request);
+                 },
+             .release_slot =
                  [this](const std::string& name,
                         AttemptId attempt,
                         const SlotResult& result) {
-                   gate.Done(name, attempt, result);
+                   slot_scheduler.ReleaseSlot(name, attempt, result);
                  }}),
       crashes({}, clock, log, metrics),
       rollouts({}, directory, clock, log),
@@ -102,7 +107,7 @@
   directory.ApplyList(servers, clock.Now());
 }
 
-RouteTableContent ForwardWorld::Table(uint64_t version) {
+RouteTableContent ForwardSimulation::Table(uint64_t version) {
   using std::chrono::milliseconds;
   const auto route = [](const std::string& name) {
     return Route{.name = name,
@@ -128,8 +133,8 @@
           .teams = {{.name = "team", .api_keys = {"key"}}}};
 }
 
-ExchangeId ForwardWorld::Request(const std::string& route,
-                                 const HttpFields& extra) {
+ExchangeId ForwardSimulation::Request(const std::string& route,
+                                      const HttpFields& extra) {
   const ExchangeId exchange = ++last_exchange_;
   RequestHead head{.method = "POST",
                    .target = "/" + route + "/x",
@@ -147,18 +152,18 @@
   return exchange;
 }
 
-void ForwardWorld::Advance(Duration by) {
+void ForwardSimulation::Advance(Duration by) {
   constexpr Duration kTick = std::chrono::milliseconds(20);
   for (Duration gone{}; gone < by; gone += kTick) {
     clock.Advance(kTick);
-    gate.Dispatch();
+    slot_scheduler.GrantFreeSlots();
     controller.Tick();
   }
 }
 
-void ForwardWorld::Head(const SentAttempt& attempt,
-                        int status,
-                        const HttpFields& extra) {
+void ForwardSimulation::Head(const SentAttempt& attempt,
+                             int status,
+                             const HttpFields& extra) {
   ResponseHead head{.status = status,
                     .fields = {{"Request-Id", attempt.Field("Request-Id")}},
                     .framing = BodyFraming::kChunked};
@@ -168,10 +173,10 @@
   controller.OnAnswerHead(attempt.attempt, head, /*fresh=*/true);
 }
 
-void ForwardWorld::Answer(const SentAttempt& attempt,
-                          int status,
-                          const std::string& body,
-                          const HttpFields& extra) {
+void ForwardSimulation::Answer(const SentAttempt& attempt,
+                               int status,
+                               const std::string& body,
+                               const HttpFields& extra) {
   const SentAttempt answered = attempt;
   HttpFields fields = extra;
   if (FindField(extra, "Not-Executed") == nullptr) {
@@ -179,12 +184,12 @@
   }
   Head(answered, status, fields);
   if (!body.empty()) {
-    controller.OnAnswerPart(answered.attempt, body);
+    controller.OnAnswerChunk(answered.attempt, body);
   }
   controller.OnAnswerEnd(answered.attempt);
 }
 
-std::string ForwardWorld::EventText(int first, int last) {
+std::string ForwardSimulation::EventText(int first, int last) {
   std::string text;
   for (int id = first; id <= last; ++id) {
     text += "id: " + std::to_string(id) + "\ndata: x\n\n";
@@ -192,13 +197,15 @@
   return text;
 }
 
-void ForwardWorld::Events(const SentAttempt& attempt, int first, int last) {
+void ForwardSimulation::Events(const SentAttempt& attempt,
+                               int first,
+                               int last) {
   const SentAttempt answered = attempt;
   if (answered.Field("Last-Event-Id").empty() ? first == 1 : true) {
     Head(answered, 200,
          {{"Response-Seal", "seal"}, {"Content-Type", "text/event-stream"}});
   }
-  controller.OnAnswerPart(answered.attempt, EventText(first, last));
+  controller.OnAnswerChunk(answered.attempt, EventText(first, last));
 }
 
 }  // namespace lavenderkeel::fakes
--- a/test/fakes/forward_world.h
+++ b/test/fakes/forward_simulation.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_TEST_FAKES_FORWARD_WORLD_H_
-#define LAVENDERKEEL_TEST_FAKES_FORWARD_WORLD_H_
+#ifndef LAVENDERKEEL_TEST_FAKES_FORWARD_SIMULATION_H_
+#define LAVENDERKEEL_TEST_FAKES_FORWARD_SIMULATION_H_
 
 #include <map>
 #include <memory>
@@ -28,7 +28,7 @@
   AttemptId attempt = 0;
   std::string address;
   std::string bytes;
-  Duration reuse_within{};
+  Duration max_reuse_idle_time{};
   bool cancelled = false;
 
   /// Returns the value of a header field of the request; empty if it has none.
@@ -42,10 +42,10 @@
                const ResponseHead& head,
                std::string_view body) override;
   void RespondHead(ExchangeId exchange, const ResponseHead& head) override;
-  void RespondPart(ExchangeId exchange, std::string_view bytes) override;
+  void RespondChunk(ExchangeId exchange, std::string_view bytes) override;
   void RespondEnd(ExchangeId exchange) override;
   void Abort(ExchangeId exchange) override;
-  void Send(AttemptId attempt, Sending sending) override;
+  void Send(AttemptId attempt, OutgoingRequest outgoing) override;
   void Cancel(AttemptId attempt) override;
 
   std::map<ExchangeId, ClientView> clients;
@@ -54,7 +54,7 @@
 
 /// Simulation of one entry: a controller with its own slot scheduler, a virtual
 /// clock and a fake port. The test acts as the servers.
-class ForwardWorld {
+class ForwardSimulation {
  public:
   struct Options {
     ForwardController::Options controller;
@@ -64,8 +64,8 @@
     bool configured = true;
   };
 
-  ForwardWorld();
-  explicit ForwardWorld(const Options& options);
+  ForwardSimulation();
+  explicit ForwardSimulation(const Options& options);
 
   /// Sends a request to a route of Table().
   ///
@@ -100,10 +100,10 @@
   Metrics metrics;
   FakeForwardPort port;
   ServerDirectory directory;
-  SlotGate gate;
+  SlotScheduler slot_scheduler;
   SlotRouter slots;
   CrashGuard crashes;
-  RolloutGuide rollouts;
+  VersionSelector rollouts;
   ForwardController controller;
 
  private:
@@ -112,4 +112,4 @@
 
 }  // namespace lavenderkeel::fakes
 
-#endif  // LAVENDERKEEL_TEST_FAKES_FORWARD_WORLD_H_
+#endif  // LAVENDERKEEL_TEST_FAKES_FORWARD_SIMULATION_H_
--- a/test/fakes/server_farm.cc
+++ b/test/fakes/simulated_servers.cc
@@ -1,4 +1,4 @@
-#include "test/fakes/server_farm.h"
+#include "test/fakes/simulated_servers.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,7 +15,8 @@
 
 }  // namespace
 
-ServerFarm::ServerFarm(FleetWorld& fleet, const Options& options)
+SimulatedServers::SimulatedServers(FleetSimulation& fleet,
+                                   const Options& options)
     : fleet_(fleet), options_(options) {
   servers_.resize(At(options_.servers));
   for (size_t i = 0; i < servers_.size(); ++i) {
@@ -24,13 +25,13 @@
   }
 }
 
-std::string ServerFarm::BodyOf(const SentAttempt& attempt) {
+std::string SimulatedServers::BodyOf(const SentAttempt& attempt) {
   RequestReader reader({});
   reader.Feed(attempt.bytes);
   return reader.TakeBody();
 }
 
-void ServerFarm::Advance(Duration by) {
+void SimulatedServers::Advance(Duration by) {
   const TimePoint end = fleet_.Now() + by;
   while (fleet_.Now() < end) {
     fleet_.Advance(kStep);
@@ -38,7 +39,7 @@
   }
 }
 
-void ServerFarm::Start(size_t index) {
+void SimulatedServers::Start(size_t index) {
   Server& server = servers_[index];
   server.id =
       "s" + std::to_string(index) + "." + std::to_string(server.start++);
@@ -46,13 +47,13 @@
   fleet_.PutServer(server.id, /*draining=*/false, server.address);
 }
 
-void ServerFarm::Crash(int server) {
+void SimulatedServers::Crash(int server) {
   if (servers_[At(server)].up) {
     CrashServer(At(server));
   }
 }
 
-void ServerFarm::CrashServer(size_t index) {
+void SimulatedServers::CrashServer(size_t index) {
   Server& server = servers_[index];
   server.up = false;
   server.back_at = fleet_.Now() + options_.back_after;
@@ -63,19 +64,19 @@
   }
 }
 
-void ServerFarm::ResetConnections(int server) {
+void SimulatedServers::ResetConnections(int server) {
   for (const Run& run : TakeRuns(At(server))) {
     Fail(run, AttemptFailure::kDisconnected);
   }
 }
 
-std::optional<int> ServerFarm::ServerOf(const std::string& body) const {
+std::optional<int> SimulatedServers::ServerOf(const std::string& body) const {
   const auto run = std::ranges::find(runs_, body, &Run::body);
   return run == runs_.end() ? std::nullopt
                             : std::optional(static_cast<int>(run->server));
 }
 
-std::vector<ServerFarm::Run> ServerFarm::TakeRuns(size_t server) {
+std::vector<SimulatedServers::Run> SimulatedServers::TakeRuns(size_t server) {
   const auto at_server = std::stable_partition(
       runs_.begin(), runs_.end(),
       [server](const Run& run) { return run.server != server; });
@@ -84,7 +85,7 @@
   return removed;
 }
 
-bool ServerFarm::IsAwaited(const Run& run) const {
+bool SimulatedServers::IsAwaited(const Run& run) const {
   if (!fleet_.runs(run.entry) ||
       fleet_.incarnation(run.entry) != run.incarnation) {
     return false;
@@ -95,7 +96,7 @@
       });
 }
 
-void ServerFarm::Fail(const Run& run, AttemptFailure failure) {
+void SimulatedServers::Fail(const Run& run, AttemptFailure failure) {
   if (IsAwaited(run)) {
     fleet_.In(run.entry, [&](ForwardNode& node) {
       node.controller().OnAttemptFailed(run.attempt.attempt, failure);
@@ -103,7 +104,7 @@
   }
 }
 
-void ServerFarm::Answer(const Run& run, int status) {
+void SimulatedServers::Answer(const Run& run, int status) {
   if (!IsAwaited(run)) {
     return;
   }
@@ -116,12 +117,12 @@
                             : HttpField{"Response-Seal", "seal"});
   fleet_.In(run.entry, [&](ForwardNode& node) {
     node.controller().OnAnswerHead(run.attempt.attempt, head, /*fresh=*/true);
-    node.controller().OnAnswerPart(run.attempt.attempt, "answer");
+    node.controller().OnAnswerChunk(run.attempt.attempt, "answer");
     node.controller().OnAnswerEnd(run.attempt.attempt);
   });
 }
 
-void ServerFarm::ReceiveAttempts(int entry) {
+void SimulatedServers::ReceiveAttempts(int entry) {
   size_t& received = received_counts_[{entry, fleet_.incarnation(entry)}];
   while (received < fleet_.port(entry).sent.size()) {
     const SentAttempt attempt = fleet_.port(entry).sent[received++];
@@ -129,7 +130,7 @@
   }
 }
 
-void ServerFarm::ReceiveAttempt(int entry, const SentAttempt& attempt) {
+void SimulatedServers::ReceiveAttempt(int entry, const SentAttempt& attempt) {
   const auto server =
       std::ranges::find(servers_, attempt.address, &Server::address);
   const Run run = {.entry = entry,
@@ -148,7 +149,7 @@
   }
 }
 
-void ServerFarm::Advance(const Run& run) {
+void SimulatedServers::Advance(const Run& run) {
   const Duration ran = fleet_.Now() - run.since;
   if (crashing_bodies_.contains(run.body)) {
     if (ran >= options_.crashes_after) {
@@ -166,7 +167,7 @@
   }
 }
 
-void ServerFarm::Step() {
+void SimulatedServers::Step() {
   for (size_t i = 0; i < servers_.size(); ++i) {
     if (!servers_[i].up && fleet_.Now() >= servers_[i].back_at) {
       Start(i);
--- a/test/fakes/server_farm.h
+++ b/test/fakes/simulated_servers.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_TEST_FAKES_SERVER_FARM_H_
-#define LAVENDERKEEL_TEST_FAKES_SERVER_FARM_H_
+#ifndef LAVENDERKEEL_TEST_FAKES_SIMULATED_SERVERS_H_
+#define LAVENDERKEEL_TEST_FAKES_SIMULATED_SERVERS_H_
 
 #include <cstdint>
 #include <functional>
@@ -9,13 +9,13 @@
 #include <string>
 #include <vector>
 
-#include "test/fakes/fleet_world.h"
+#include "test/fakes/fleet_simulation.h"
 
 namespace lavenderkeel::fakes {
 
-/// Simulation of the backend servers of a FleetWorld. Requests with certain
-/// bodies crash them; they restart with a new id at the same address.
-class ServerFarm {
+/// Simulation of the backend servers of a FleetSimulation. Requests with
+/// certain bodies crash them; they restart with a new id at the same address.
+class SimulatedServers {
  public:
   struct Options {
     int servers = 8;
@@ -28,13 +28,13 @@
     Duration removed_after = std::chrono::milliseconds(3600);
   };
 
-  ServerFarm(FleetWorld& fleet, const Options& options);
+  SimulatedServers(FleetSimulation& fleet, const Options& options);
 
   /// Advances the time of the servers and of the fleet.
   void Advance(Duration by);
   void set_back_after(Duration back_after) { options_.back_after = back_after; }
   /// Makes requests with this body crash the server that runs them.
-  void SetDeadly(const std::string& body) { crashing_bodies_.insert(body); }
+  void SetCrashing(const std::string& body) { crashing_bodies_.insert(body); }
   /// Crashes a server independently of its requests.
   void Crash(int server);
   /// Resets all connections to a server, which keeps running.
@@ -85,7 +85,7 @@
   void Answer(const Run& run, int status);
   bool IsAwaited(const Run& run) const;
 
-  FleetWorld& fleet_;
+  FleetSimulation& fleet_;
   Options options_;
   std::vector<Server> servers_;
   std::vector<Run> runs_;
@@ -102,4 +102,4 @@
 
 }  // namespace lavenderkeel::fakes
 
-#endif  // LAVENDERKEEL_TEST_FAKES_SERVER_FARM_H_
+#endif  // LAVENDERKEEL_TEST_FAKES_SIMULATED_SERVERS_H_
--- a/test/forward/answer_time_test.cc
+++ b/test/forward/answer_time_test.cc
@@ -1,8 +1,8 @@
 #include <boost/test/unit_test.hpp>
 #include <random>
 
-#include "lavenderkeel/forward/high_quantile.h"
-#include "test/fakes/forward_world.h"
+#include "lavenderkeel/forward/upper_quantile_estimator.h"
+#include "test/fakes/forward_simulation.h"
 
 namespace lavenderkeel {
 
@@ -10,7 +10,7 @@
 
 BOOST_AUTO_TEST_CASE(HighQuantileConvergesAndFollowsChanges) {
   std::mt19937 random(3);
-  HighQuantile quantile;
+  UpperQuantileEstimator quantile;
   for (const double max_sample : {100.0, 400.0, 50.0}) {
     std::uniform_real_distribution<double> sample(0.0, max_sample);
     for (int i = 0; i < 400; ++i) {
@@ -26,9 +26,9 @@
 // in time. Guards against granting the slot to the request that is nearest to
 // its target, after which both are late.
 BOOST_AUTO_TEST_CASE(SlotGoesToRequestThatCanBeInTime) {
-  RouteTableContent content = fakes::ForwardWorld::Table(2);
+  RouteTableContent content = fakes::ForwardSimulation::Table(2);
   content.services = {{.name = "engines"}};
-  fakes::ForwardWorld w({.servers = 1, .slots = 1});
+  fakes::ForwardSimulation w({.servers = 1, .slots = 1});
   w.controller.OnRouteTable(std::make_shared<const RouteTable>(content));
   // A plain service has two places per slot.
   for (int i = 0; i < 10; ++i) {
--- a/test/forward/crash_simulation.h
+++ b/test/forward/crash_simulation.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "test/fakes/server_farm.h"
+#include "test/fakes/simulated_servers.h"
 
 namespace lavenderkeel {
 
@@ -15,10 +15,10 @@
  public:
   struct Options {
     int entries = 4;
-    fakes::ServerFarm::Options farm;
+    fakes::SimulatedServers::Options simulated_servers;
     std::string route = "lookup";
     /// Interval of requests that crash their server; zero: none.
-    Duration deadly_every = std::chrono::milliseconds(150);
+    Duration crashing_every = std::chrono::milliseconds(150);
     /// Different requests of this kind, in rotation.
     int crashing_kinds = 1;
     /// Interval of harmless requests, each with a different body.
@@ -32,11 +32,11 @@
         fleet_({.entries = options.entries,
                 .seeds = std::min(3, options.entries),
                 .with_server = false}),
-        farm_(fleet_, options.farm) {
+        simulated_servers_(fleet_, options.simulated_servers) {
     for (int kind = 0; kind < options.crashing_kinds; ++kind) {
-      farm_.SetDeadly(CrashingBody(kind));
+      simulated_servers_.SetCrashing(CrashingBody(kind));
     }
-    farm_.Advance(std::chrono::seconds(3));
+    simulated_servers_.Advance(std::chrono::seconds(3));
   }
 
   /// Sends requests for the duration, to the entries in rotation.
@@ -45,7 +45,7 @@
       Duration duration,
       const std::function<void(Duration)>& during = [](Duration) {}) {
     const TimePoint start = fleet_.Now();
-    TrafficSource crashing = {.every = options_.deadly_every, .due = start};
+    TrafficSource crashing = {.every = options_.crashing_every, .due = start};
     TrafficSource harmless = {.every = options_.harmless_every, .due = start};
     TrafficSource equal = {.every = options_.equal_every, .due = start};
     while (fleet_.Now() < start + duration) {
@@ -60,7 +60,7 @@
       if (TakeIfDue(equal)) {
         Send(NextEntry(), kEqual);
       }
-      farm_.Advance(std::chrono::milliseconds(10));
+      simulated_servers_.Advance(std::chrono::milliseconds(10));
     }
   }
 
@@ -76,7 +76,7 @@
 
   void Restart(int entry) {
     fleet_.Kill(entry);
-    farm_.Advance(std::chrono::milliseconds(500));
+    simulated_servers_.Advance(std::chrono::milliseconds(500));
     fleet_.Start(entry);
   }
 
@@ -106,8 +106,8 @@
     return most;
   }
 
-  fakes::FleetWorld& fleet() { return fleet_; }
-  fakes::ServerFarm& farm() { return farm_; }
+  fakes::FleetSimulation& fleet() { return fleet_; }
+  fakes::SimulatedServers& simulated_servers() { return simulated_servers_; }
 
   static constexpr char kCrashing[] = "deadly";
   static constexpr char kHarmless[] = "harmless ";
@@ -138,14 +138,14 @@
   }
 
   int CountLateRetriesOf(const std::string& body) {
-    std::vector<TimePoint> ended = farm_.ended(body);
+    std::vector<TimePoint> ended = simulated_servers_.ended(body);
     std::ranges::sort(ended);
     constexpr size_t kThird = 2;
     if (ended.size() <= kThird) {
       return 0;
     }
     return static_cast<int>(std::ranges::count_if(
-        farm_.reached(body),
+        simulated_servers_.reached(body),
         [&](TimePoint at) { return at > ended[kThird] + kReportDelay; }));
   }
 
@@ -167,8 +167,8 @@
   }
 
   Options options_;
-  fakes::FleetWorld fleet_;
-  fakes::ServerFarm farm_;
+  fakes::FleetSimulation fleet_;
+  fakes::SimulatedServers simulated_servers_;
   std::vector<Request> sent_requests_;
   int next_entry_ = 0;
   int harmless_ = 0;
--- a/test/forward/crashing_request_test.cc
+++ b/test/forward/crashing_request_test.cc
@@ -65,7 +65,8 @@
   for (const Duration restart_delay :
        {Duration(milliseconds(100)), Duration(milliseconds(700)),
         Duration(seconds(8))}) {
-    CrashSimulation simulation({.farm = {.back_after = restart_delay}});
+    CrashSimulation simulation(
+        {.simulated_servers = {.back_after = restart_delay}});
     simulation.SendTraffic(seconds(40));
     CheckCrashesStopped(simulation);
   }
@@ -73,7 +74,7 @@
 
 // Guards against a request that comes so rarely that its losses are forgotten.
 BOOST_AUTO_TEST_CASE(CrashingRequestThatComesRarelyIsStopped) {
-  CrashSimulation simulation({.deadly_every = seconds(20)});
+  CrashSimulation simulation({.crashing_every = seconds(20)});
   simulation.SendTraffic(std::chrono::minutes(8));
   CheckCrashesStopped(simulation);
 }
@@ -113,8 +114,9 @@
 BOOST_AUTO_TEST_CASE(CrashingRequestIsStoppedThoughItComesToAllEntriesAtOnce) {
   for (const Duration restart_delay :
        {Duration(milliseconds(500)), Duration(seconds(8))}) {
-    CrashSimulation simulation({.farm = {.back_after = restart_delay},
-                                .deadly_every = Duration::zero()});
+    CrashSimulation simulation(
+        {.simulated_servers = {.back_after = restart_delay},
+         .crashing_every = Duration::zero()});
     simulation.SendTraffic(seconds(50), [&](Duration now) {
       constexpr Duration kPeriod = seconds(12);
       if (now % kPeriod < milliseconds(20)) {
@@ -132,8 +134,9 @@
 BOOST_AUTO_TEST_CASE(CrashingRequestThatRunsForLongIsStopped) {
   for (const Duration restart_delay :
        {Duration(milliseconds(500)), Duration(seconds(5))}) {
-    CrashSimulation simulation({.farm = {.crashes_after = milliseconds(1500),
-                                         .back_after = restart_delay}});
+    CrashSimulation simulation(
+        {.simulated_servers = {.crashes_after = milliseconds(1500),
+                               .back_after = restart_delay}});
     simulation.SendTraffic(seconds(50));
     CheckCrashesStopped(simulation);
   }
@@ -142,8 +145,8 @@
 // Guards against several such requests, each of which is hidden by the losses
 // of the others.
 BOOST_AUTO_TEST_CASE(SeveralCrashingRequestsAreStopped) {
-  CrashSimulation simulation({.farm = {.servers = 16},
-                              .deadly_every = milliseconds(100),
+  CrashSimulation simulation({.simulated_servers = {.servers = 16},
+                              .crashing_every = milliseconds(100),
                               .crashing_kinds = 4});
   simulation.SendTraffic(seconds(50));
   CheckCrashesStopped(simulation);
@@ -154,7 +157,7 @@
 BOOST_AUTO_TEST_CASE(CrashingRequestIsStoppedWhileTheStoreIsDown) {
   // Servers that restart are not listed, so there are many.
   CrashSimulation simulation(
-      {.farm = {.servers = 40}, .deadly_every = seconds(1)});
+      {.simulated_servers = {.servers = 40}, .crashing_every = seconds(1)});
   simulation.SendTraffic(seconds(40), [&](Duration now) {
     if (At(now, Duration::zero())) {
       simulation.fleet().set_store_down(true);
@@ -190,7 +193,7 @@
   CrashSimulation simulation({});
   simulation.SendTraffic(seconds(40));
   BOOST_TEST(AnsweredFraction(simulation, CrashSimulation::kHarmless) >= 0.95);
-  BOOST_TEST(simulation.farm().crashes() < 20);
+  BOOST_TEST(simulation.simulated_servers().crashes() < 20);
 }
 
 // Guards against a request that was changed and is refused as before.
@@ -200,22 +203,23 @@
   const std::string changed_request = "mended";
   for (int i = 0; i < 20; ++i) {
     simulation.Send(i % 4, changed_request);
-    simulation.farm().Advance(milliseconds(50));
+    simulation.simulated_servers().Advance(milliseconds(50));
   }
-  simulation.farm().Advance(seconds(1));
+  simulation.simulated_servers().Advance(seconds(1));
   BOOST_TEST(simulation.CountAnswered(changed_request) == 20);
 }
 
 // Guards against equal requests that are blamed for servers which crash one
 // after the other for another reason.
 BOOST_AUTO_TEST_CASE(EqualRequestsAreServedWhileServersCrashInTurn) {
-  CrashSimulation simulation({.farm = {.back_after = milliseconds(1500)},
-                              .deadly_every = Duration::zero(),
-                              .equal_every = milliseconds(30)});
+  CrashSimulation simulation(
+      {.simulated_servers = {.back_after = milliseconds(1500)},
+       .crashing_every = Duration::zero(),
+       .equal_every = milliseconds(30)});
   simulation.SendTraffic(seconds(40), [&](Duration now) {
     for (int i = 0; i < 60; ++i) {
       if (At(now, milliseconds(600) * i)) {
-        simulation.farm().Crash(i % 8);
+        simulation.simulated_servers().Crash(i % 8);
       }
     }
   });
@@ -226,16 +230,17 @@
 
 // Guards against the same failure if all servers of a service crash at once.
 BOOST_AUTO_TEST_CASE(EqualRequestsAreServedAfterAllServersCrashedAtOnce) {
-  CrashSimulation simulation({.farm = {.servers = 3, .back_after = seconds(1)},
-                              .deadly_every = Duration::zero(),
-                              .harmless_every = milliseconds(100),
-                              .equal_every = milliseconds(40)});
+  CrashSimulation simulation(
+      {.simulated_servers = {.servers = 3, .back_after = seconds(1)},
+       .crashing_every = Duration::zero(),
+       .harmless_every = milliseconds(100),
+       .equal_every = milliseconds(40)});
   constexpr Duration kPeriod = seconds(10);
   simulation.SendTraffic(seconds(40), [&](Duration now) {
     for (int i = 0; i < 4; ++i) {
       if (At(now, kPeriod * i)) {
         for (const int server : {0, 1, 2}) {
-          simulation.farm().Crash(server);
+          simulation.simulated_servers().Crash(server);
         }
       }
     }
@@ -247,7 +252,7 @@
 // Guards against a request that is blamed because its connection was reset each
 // time, though its servers kept running.
 BOOST_AUTO_TEST_CASE(RequestWhoseConnectionsWereResetIsServed) {
-  CrashSimulation simulation({.deadly_every = Duration::zero()});
+  CrashSimulation simulation({.crashing_every = Duration::zero()});
   const std::string reset_request = "unlucky";
   int resets = 0;
   constexpr int kResets = 6;
@@ -255,14 +260,15 @@
     if (At(now, seconds(1) * resets)) {
       simulation.Send(resets % 4, reset_request);
     }
-    const std::optional<int> server = simulation.farm().ServerOf(reset_request);
+    const std::optional<int> server =
+        simulation.simulated_servers().ServerOf(reset_request);
     if (server.has_value() && resets < kResets) {
-      simulation.farm().ResetConnections(*server);
+      simulation.simulated_servers().ResetConnections(*server);
       ++resets;
     }
   });
   simulation.Send(0, reset_request);
-  simulation.farm().Advance(seconds(1));
+  simulation.simulated_servers().Advance(seconds(1));
   BOOST_TEST(resets == kResets);
   BOOST_TEST(simulation.CountRefusedAsCrashing("") == 0);
   BOOST_TEST(simulation.CountAnswered(reset_request) > 0);
@@ -271,37 +277,38 @@
 // Guards against an entry that has just started and sends a request to a server
 // before it has received the evidence of the others.
 BOOST_AUTO_TEST_CASE(NewEntryGetsEvidenceBeforeItSends) {
-  CrashSimulation simulation(
-      {.deadly_every = milliseconds(50), .harmless_every = milliseconds(200)});
+  CrashSimulation simulation({.crashing_every = milliseconds(50),
+                              .harmless_every = milliseconds(200)});
   simulation.SendTraffic(seconds(6));
   const size_t reached =
-      simulation.farm().reached(CrashSimulation::kCrashing).size();
+      simulation.simulated_servers().reached(CrashSimulation::kCrashing).size();
   for (int round = 0; round < 10; ++round) {
     simulation.fleet().Kill(3);
     simulation.fleet().Start(3);
     for (int i = 0; i < 100; ++i) {
       simulation.Send(3, CrashSimulation::kCrashing);
-      simulation.farm().Advance(milliseconds(10));
+      simulation.simulated_servers().Advance(milliseconds(10));
     }
   }
-  BOOST_TEST(simulation.farm().reached(CrashSimulation::kCrashing).size() ==
-             reached);
+  BOOST_TEST(simulation.simulated_servers()
+                 .reached(CrashSimulation::kCrashing)
+                 .size() == reached);
 }
 
 // Guards against reset connections that are taken for crashed servers.
 BOOST_AUTO_TEST_CASE(ResetConnectionsBlameNoRequest) {
-  CrashSimulation simulation({.deadly_every = Duration::zero(),
+  CrashSimulation simulation({.crashing_every = Duration::zero(),
                               .harmless_every = milliseconds(50),
                               .equal_every = milliseconds(50)});
   simulation.SendTraffic(seconds(30), [&](Duration now) {
     for (int i = 0; i < 150; ++i) {
       if (At(now, milliseconds(200) * i)) {
-        simulation.farm().ResetConnections(i % 8);
-        simulation.farm().ResetConnections((i + 1) % 8);
+        simulation.simulated_servers().ResetConnections(i % 8);
+        simulation.simulated_servers().ResetConnections((i + 1) % 8);
       }
     }
   });
-  BOOST_TEST(simulation.farm().crashes() == 0);
+  BOOST_TEST(simulation.simulated_servers().crashes() == 0);
   BOOST_TEST(simulation.CountRefusedAsCrashing("") == 0);
 }
 
--- a/test/forward/fleet_test.cc
+++ b/test/forward/fleet_test.cc
@@ -2,13 +2,13 @@
 #include <boost/test/unit_test.hpp>
 #include <vector>
 
-#include "test/fakes/fleet_world.h"
+#include "test/fakes/fleet_simulation.h"
 
 namespace lavenderkeel {
 
 namespace {
 
-using fakes::FleetWorld;
+using fakes::FleetSimulation;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -16,9 +16,9 @@
 /// receives in a second.
 uint64_t MaxIdleMessagesPerSecond(int entries,
                                   const CoordinatorRules& rules = {}) {
-  FleetWorld::Options options = {.entries = entries, .strong = 10};
-  options.node.exchange.roster.coordinators = rules;
-  FleetWorld fleet(options);
+  FleetSimulation::Options options = {.entries = entries, .strong = 10};
+  options.node.exchange.entry_directory.coordinators = rules;
+  FleetSimulation fleet(options);
   fleet.Advance(seconds(4));
   fleet.ResetCounts();
   fleet.Advance(seconds(1));
@@ -29,9 +29,10 @@
   return max_messages;
 }
 
-int CountFullyConnected(FleetWorld& fleet, const std::vector<int>& entries) {
+int CountFullyConnected(FleetSimulation& fleet,
+                        const std::vector<int>& entries) {
   const EntryExchange::Counts all = {.known = entries.size(),
-                                     .heard = entries.size()};
+                                     .reporting = entries.size()};
   return static_cast<int>(std::ranges::count_if(entries, [&](int entry) {
     return fleet.node(entry).exchange().Count() == all;
   }));
@@ -46,7 +47,7 @@
 }
 
 /// Number of running entries of 60 that know that the server is draining.
-int CountWithoutUsableServer(FleetWorld& fleet) {
+int CountWithoutUsableServer(FleetSimulation& fleet) {
   return static_cast<int>(std::ranges::count_if(Range(0, 60), [&](int entry) {
     return fleet.runs(entry) &&
            fleet.node(entry).directory().Usable("engines").empty();
@@ -75,13 +76,13 @@
 // from all, it lets through only a part of each team's rate, so callers would
 // get 429.
 BOOST_AUTO_TEST_CASE(LargeFleetConnectsSoonAfterStart) {
-  FleetWorld fleet({.entries = 103, .strong = 15});
+  FleetSimulation fleet({.entries = 103, .strong = 15});
   fleet.Advance(milliseconds(700));
   BOOST_TEST(CountFullyConnected(fleet, Range(0, 103)) == 103);
   const std::set<std::string> expected_coordinators =
-      fleet.node(0).exchange().roster().coordinators();
+      fleet.node(0).exchange().entry_directory().coordinators();
   for (const int entry : Range(0, 103)) {
-    BOOST_TEST(fleet.node(entry).exchange().roster().coordinators() ==
+    BOOST_TEST(fleet.node(entry).exchange().entry_directory().coordinators() ==
                expected_coordinators);
   }
 }
@@ -92,22 +93,22 @@
 BOOST_AUTO_TEST_CASE(EachPeerOfAPairSendsItsListOnce) {
   constexpr uint64_t kEntries = 100;
   constexpr uint64_t kSeeds = 3;
-  FleetWorld fleet({.entries = kEntries, .strong = 15, .seeds = kSeeds});
+  FleetSimulation fleet({.entries = kEntries, .strong = 15, .seeds = kSeeds});
   fleet.Advance(milliseconds(700));
-  BOOST_TEST_MESSAGE("list entries sent: " << fleet.entries_told());
+  BOOST_TEST_MESSAGE("list entries sent: " << fleet.list_entries_sent());
   BOOST_TEST(CountFullyConnected(fleet, Range(0, kEntries)) == 100);
   const uint64_t coordinators =
-      fleet.node(0).exchange().roster().coordinators().size();
+      fleet.node(0).exchange().entry_directory().coordinators().size();
   const uint64_t pairs = coordinators * kEntries;
   // In addition, each seed sends the list of all to each new entry.
-  BOOST_TEST(fleet.entries_told() <=
+  BOOST_TEST(fleet.list_entries_sent() <=
              2 * pairs * kEntries + kSeeds * kEntries * kEntries);
 }
 
 // All coordinators die at once. The next entries in order must take over, so
 // that clients are refused no longer than the detection takes.
 BOOST_AUTO_TEST_CASE(OtherEntriesReplaceLostCoordinators) {
-  FleetWorld fleet({.entries = 40, .strong = 6, .seeds = 6});
+  FleetSimulation fleet({.entries = 40, .strong = 6, .seeds = 6});
   fleet.Advance(seconds(2));
   for (const int entry : Range(0, 6)) {
     fleet.Kill(entry);
@@ -117,7 +118,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(RestartedCoordinatorReconnects) {
-  FleetWorld fleet({.entries = 40, .strong = 6});
+  FleetSimulation fleet({.entries = 40, .strong = 6});
   fleet.Advance(seconds(2));
   fleet.Kill(0);
   fleet.Advance(seconds(3));
@@ -131,7 +132,7 @@
 // the coordinators may read, and all entries must know in time to send a
 // leaving server no more requests.
 BOOST_AUTO_TEST_CASE(OnlyCoordinatorsReadServerChanges) {
-  FleetWorld fleet({.entries = 60, .strong = 8});
+  FleetSimulation fleet({.entries = 60, .strong = 8});
   fleet.Advance(seconds(3));
   fleet.ResetCounts();
   constexpr int kChanges = 5;
@@ -147,7 +148,7 @@
 // The coordinators die while a server leaves. The others must read the store
 // until there are new ones, so that the server gets no more requests.
 BOOST_AUTO_TEST_CASE(ServerChangesArriveThoughAllCoordinatorsDie) {
-  FleetWorld fleet({.entries = 60, .strong = 8, .seeds = 10});
+  FleetSimulation fleet({.entries = 60, .strong = 8, .seeds = 10});
   fleet.Advance(seconds(3));
   for (const int entry : Range(0, 8)) {
     fleet.Kill(entry);
@@ -160,7 +161,7 @@
 // A server leaves while the store is unavailable. All entries must know soon
 // after its return, and until then only the coordinators may retry.
 BOOST_AUTO_TEST_CASE(OnlyCoordinatorsRetryDuringStoreOutage) {
-  FleetWorld fleet({.entries = 60, .strong = 8});
+  FleetSimulation fleet({.entries = 60, .strong = 8});
   fleet.Advance(seconds(3));
   fleet.set_store_down(true);
   fleet.Advance(seconds(1));
@@ -186,12 +187,12 @@
   // Tolerated by the users, for requests of a usual size.
   constexpr double kOver = 0.1;
   constexpr double kSlack = 50;
-  FleetWorld::Options options = {
+  FleetSimulation::Options options = {
       .entries = 60,
       .strong = 8,
       .rate = {.per_second = kRate, .burst = kBurst}};
   options.node.controller.rates.tolerance = {.over = kOver, .slack = kSlack};
-  FleetWorld fleet(options);
+  FleetSimulation fleet(options);
   fleet.Advance(seconds(2));
   constexpr int kSeconds = 6;
   constexpr int kRequestsPerEntry = 20 * kSeconds;
@@ -218,10 +219,10 @@
 BOOST_AUTO_TEST_CASE(ServerListIsNotResentWhileInTransit) {
   constexpr uint64_t kServers = 200;
   constexpr uint64_t kFollowers = 20;
-  FleetWorld fleet({.entries = 30,
-                    .strong = 10,
-                    .with_server = false,
-                    .way = milliseconds(250)});
+  FleetSimulation fleet({.entries = 30,
+                         .strong = 10,
+                         .with_server = false,
+                         .network_delay = milliseconds(250)});
   fleet.Advance(seconds(4));
   fleet.ResetCounts();
   for (uint64_t i = 0; i < kServers; ++i) {
@@ -231,7 +232,7 @@
   BOOST_TEST(fleet.node(29).directory().Usable("engines").size() == kServers);
   // Each change may reach an entry from the coordinator that it used and, if
   // another had it first, from that one too.
-  BOOST_TEST(fleet.servers_told() <= 2 * kServers * kFollowers);
+  BOOST_TEST(fleet.server_updates_sent() <= 2 * kServers * kFollowers);
 }
 
 }  // namespace lavenderkeel
--- a/test/forward/forward_controller_test.cc
+++ b/test/forward/forward_controller_test.cc
@@ -2,19 +2,19 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "test/fakes/forward_world.h"
+#include "test/fakes/forward_simulation.h"
 
 namespace lavenderkeel {
 
 namespace {
 
-using fakes::ForwardWorld;
+using fakes::ForwardSimulation;
 using std::chrono::milliseconds;
 
 }  // namespace
 
 BOOST_AUTO_TEST_CASE(AnswerIsForwardedWithItsSealAndStatus) {
-  ForwardWorld w;
+  ForwardSimulation w;
   const ExchangeId request = w.Request("once");
   w.Answer(w.last(), 404, "none", {{"Connection", "close"}});
   BOOST_TEST(*w.client(request).status == 404);
@@ -25,7 +25,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(RequestsTheConfigurationDoesNotAllowAreRefused) {
-  ForwardWorld w;
+  ForwardSimulation w;
   BOOST_TEST(*w.client(w.Request("nowhere")).status == 404);
   BOOST_TEST(
       *w.client(w.Request("once", {{"Authorization", "Bearer x"}})).status ==
@@ -39,7 +39,7 @@
 // request before the first configuration: its client would come back too early
 // and have no further attempt.
 BOOST_AUTO_TEST_CASE(RequestWaitsForTheFirstConfiguration) {
-  ForwardWorld w({.configured = false});
+  ForwardSimulation w({.configured = false});
   const ExchangeId early = w.Request("once");
   const ExchangeId short_deadline =
       w.Request("once", {{"Deadline-Ms", "1000"}});
@@ -47,7 +47,7 @@
   BOOST_TEST(*w.client(short_deadline).status == 503);
   BOOST_TEST(!w.client(early).ended);
   w.controller.OnRouteTable(
-      std::make_shared<const RouteTable>(ForwardWorld::Table()));
+      std::make_shared<const RouteTable>(ForwardSimulation::Table()));
   BOOST_TEST(w.port.sent.size() == 1U);
   // The time that it waited is subtracted from its time left.
   BOOST_TEST(w.last().Field("Deadline-Ms") == "9600");
@@ -57,12 +57,12 @@
 }
 
 BOOST_AUTO_TEST_CASE(OlderConfigurationIsIgnored) {
-  ForwardWorld w;
-  RouteTableContent newer = ForwardWorld::Table(5);
+  ForwardSimulation w;
+  RouteTableContent newer = ForwardSimulation::Table(5);
   newer.routes.pop_back();
   w.controller.OnRouteTable(std::make_shared<const RouteTable>(newer));
   w.controller.OnRouteTable(
-      std::make_shared<const RouteTable>(ForwardWorld::Table(4)));
+      std::make_shared<const RouteTable>(ForwardSimulation::Table(4)));
   BOOST_TEST(w.controller.table()->version() == 5U);
   BOOST_TEST(*w.client(w.Request("once")).status == 404);
 }
@@ -72,7 +72,7 @@
 // an answer that says "not run": a 504 promises nothing.
 BOOST_AUTO_TEST_CASE(FailedNonRepeatableRequestIsNeitherRepeatedNorRefused) {
   for (const char* route : {"once", "once-stream"}) {
-    ForwardWorld w;
+    ForwardSimulation w;
     const ExchangeId request = w.Request(route);
     w.controller.OnAttemptFailed(w.last().attempt, AttemptFailure::kBroken);
     BOOST_TEST(w.port.sent.size() == 1U);
@@ -84,7 +84,7 @@
 // No connection is established, then a server is full. Guards against giving up
 // a request that certainly did not run instead of sending it to another server.
 BOOST_AUTO_TEST_CASE(UnsentAndRejectedRequestsGoToAnotherServer) {
-  ForwardWorld w({.servers = 3});
+  ForwardSimulation w({.servers = 3});
   const ExchangeId request = w.Request("once");
   w.controller.OnAttemptFailed(w.last().attempt, AttemptFailure::kNotConnected);
   BOOST_TEST(w.port.sent.size() == 2U);
@@ -97,7 +97,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(OtherServerAtTheAddressDidNotRunTheRequest) {
-  ForwardWorld w;
+  ForwardSimulation w;
   const ExchangeId request = w.Request("once");
   w.Answer(w.last(), 421, "");
   BOOST_TEST(w.port.sent.size() == 2U);
@@ -108,7 +108,7 @@
 // All servers are full. Guards against an answer that does not say that the
 // request did not run, or when to come back.
 BOOST_AUTO_TEST_CASE(RequestRejectedByAllServersIsRefusedWithRetryAfter) {
-  ForwardWorld w({.controller = {.retry_extra = 2}, .servers = 2});
+  ForwardSimulation w({.controller = {.retry_extra = 2}, .servers = 2});
   const ExchangeId request = w.Request("once");
   while (!w.client(request).ended) {
     w.Answer(w.last(), 503, "full", {{"Not-Executed", "1"}});
@@ -118,7 +118,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(FailedLookupIsRetriedOnce) {
-  ForwardWorld w({.servers = 3});
+  ForwardSimulation w({.servers = 3});
   const ExchangeId request = w.Request("lookup");
   w.Answer(w.last(), 500, "error");
   BOOST_TEST(w.port.sent.size() == 2U);
@@ -130,7 +130,7 @@
 // A second answer to an earlier request arrives where the answer to this one is
 // expected. Guards against passing it to the client; it is skipped.
 BOOST_AUTO_TEST_CASE(AnswerToAnotherRequestIsSkipped) {
-  ForwardWorld w;
+  ForwardSimulation w;
   const ExchangeId request = w.Request("once");
   const auto verdict = w.controller.OnAnswerHead(
       w.last().attempt,
@@ -151,7 +151,7 @@
         HttpFields{{"Request-Id", "r1"},
                    {"Response-Seal", "seal"},
                    {"Content-Encoding", "gzip"}}}) {
-    ForwardWorld w;
+    ForwardSimulation w;
     const ExchangeId request = w.Request("once");
     const auto verdict = w.controller.OnAnswerHead(
         w.last().attempt, {.status = 200, .fields = fields}, /*fresh=*/false);
@@ -161,40 +161,40 @@
 }
 
 BOOST_AUTO_TEST_CASE(OnlyCompleteEventsAreForwardedAtOnce) {
-  ForwardWorld w;
+  ForwardSimulation w;
   const ExchangeId request = w.Request("stream");
   w.Events(w.last(), 1, 2);
-  w.controller.OnAnswerPart(w.last().attempt, "id: 3\nda");
-  BOOST_TEST(w.client(request).body == ForwardWorld::EventText(1, 2));
-  w.controller.OnAnswerPart(w.last().attempt, "ta: x\n\n");
+  w.controller.OnAnswerChunk(w.last().attempt, "id: 3\nda");
+  BOOST_TEST(w.client(request).body == ForwardSimulation::EventText(1, 2));
+  w.controller.OnAnswerChunk(w.last().attempt, "ta: x\n\n");
   w.controller.OnAnswerEnd(w.last().attempt);
-  BOOST_TEST(w.client(request).body == ForwardWorld::EventText(1, 3));
+  BOOST_TEST(w.client(request).body == ForwardSimulation::EventText(1, 3));
   BOOST_TEST(w.client(request).ended);
 }
 
 // The server disconnects in the middle of the third event. Guards against a gap
 // or a repetition when the stream is resumed at another server.
 BOOST_AUTO_TEST_CASE(BrokenStreamIsResumedAfterItsLastCompleteEvent) {
-  ForwardWorld w;
+  ForwardSimulation w;
   const ExchangeId request = w.Request("stream");
   w.Events(w.last(), 1, 2);
-  w.controller.OnAnswerPart(w.last().attempt, "id: 3\nda");
+  w.controller.OnAnswerChunk(w.last().attempt, "id: 3\nda");
   w.controller.OnAttemptFailed(w.last().attempt, AttemptFailure::kBroken);
   BOOST_TEST(w.port.sent.size() == 2U);
   BOOST_TEST(w.last().Field("Last-Event-Id") == "2");
   w.Events(w.last(), 3, 4);
   w.controller.OnAnswerEnd(w.last().attempt);
-  BOOST_TEST(w.client(request).body == ForwardWorld::EventText(1, 4));
+  BOOST_TEST(w.client(request).body == ForwardSimulation::EventText(1, 4));
   BOOST_TEST(w.client(request).ended);
 }
 
 // The answer ends in the middle of an event. Guards against forwarding this as
 // an end, which would look complete to the client.
 BOOST_AUTO_TEST_CASE(StreamThatEndsWithinAnEventIsAborted) {
-  ForwardWorld w;
+  ForwardSimulation w;
   const ExchangeId request = w.Request("once-stream");
   w.Events(w.last(), 1, 2);
-  w.controller.OnAnswerPart(w.last().attempt, "id: 3\nda");
+  w.controller.OnAnswerChunk(w.last().attempt, "id: 3\nda");
   w.controller.OnAnswerEnd(w.last().attempt);
   BOOST_TEST(w.client(request).aborted);
   BOOST_TEST(!w.client(request).ended);
@@ -204,7 +204,7 @@
 // that work on a request: the first connection is closed before the next
 // attempt.
 BOOST_AUTO_TEST_CASE(SilentStreamIsClosedBeforeItIsResumed) {
-  ForwardWorld w;
+  ForwardSimulation w;
   w.Request("stream");
   w.Events(w.last(), 1, 2);
   w.Advance(milliseconds(800));
@@ -221,7 +221,7 @@
 // with which the client loses an answer of which it has a part, and against
 // serving the others first.
 BOOST_AUTO_TEST_CASE(InterruptedStreamIsResumedBeforeWaitingRequests) {
-  ForwardWorld w({.servers = 1, .slots = 1});
+  ForwardSimulation w({.servers = 1, .slots = 1});
   const ExchangeId stream = w.Request("stream");
   const AttemptId first = w.last().attempt;
   w.Events(w.last(), 1, 2);
@@ -243,7 +243,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(RequestIsCancelledWhenItsClientLeaves) {
-  ForwardWorld w;
+  ForwardSimulation w;
   const ExchangeId request = w.Request("stream");
   w.controller.OnClientGone(request);
   BOOST_TEST(w.last().cancelled);
@@ -254,7 +254,7 @@
 // that of urgency, and against requests that wait when it is too late to run
 // them.
 BOOST_AUTO_TEST_CASE(UrgentRequestsGoFirstAndWaitsEnd) {
-  ForwardWorld w({.servers = 1, .slots = 1});
+  ForwardSimulation w({.servers = 1, .slots = 1});
   w.Request("once");
   const ExchangeId lookup = w.Request("lookup");
   const ExchangeId stream = w.Request("once-stream");
@@ -271,8 +271,8 @@
 // All teams have the same rank. Guards against ignoring the rank of the route,
 // by which cheap lookups would hold the slots of interactive requests.
 BOOST_AUTO_TEST_CASE(TeamsOfEqualRankAreOrderedByTheirRoutes) {
-  ForwardWorld w({.servers = 1, .slots = 1});
-  RouteTableContent ranked = ForwardWorld::Table(2);
+  ForwardSimulation w({.servers = 1, .slots = 1});
+  RouteTableContent ranked = ForwardSimulation::Table(2);
   ranked.teams[0].priority = 1;
   w.controller.OnRouteTable(std::make_shared<const RouteTable>(ranked));
   w.Request("once");
@@ -285,7 +285,7 @@
 // One server crashed, the other is full. Guards against using up attempts at
 // the crashed one instead of waiting for the healthy one.
 BOOST_AUTO_TEST_CASE(CrashedServerIsNotUsedWhileAnotherIsHealthy) {
-  ForwardWorld w({.servers = 2, .slots = 1});
+  ForwardSimulation w({.servers = 2, .slots = 1});
   w.Request("once");
   w.controller.OnAttemptFailed(w.last().attempt, AttemptFailure::kNotConnected);
   BOOST_TEST(w.port.sent.size() == 2U);
@@ -297,7 +297,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(RequestEndsAtTheRouteTimeout) {
-  ForwardWorld w;
+  ForwardSimulation w;
   const ExchangeId request = w.Request("once", {{"Deadline-Ms", "60000"}});
   w.Advance(milliseconds(9'960));
   BOOST_TEST(!w.client(request).ended);
@@ -307,7 +307,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(ServerReceivesTheTimeLeft) {
-  ForwardWorld w({.servers = 1, .slots = 1});
+  ForwardSimulation w({.servers = 1, .slots = 1});
   w.Request("once");
   w.Request("once", {{"Deadline-Ms", "900"}});
   w.Advance(milliseconds(200));
@@ -319,18 +319,18 @@
 // An idle connection may be closing. Guards against sending work on it that may
 // run only once: after a reset it would be in doubt whether the work ran.
 BOOST_AUTO_TEST_CASE(NonRepeatableRequestsUseOnlyFreshConnections) {
-  ForwardWorld w;
+  ForwardSimulation w;
   w.Request("once");
-  const Duration once = w.last().reuse_within;
+  const Duration once = w.last().max_reuse_idle_time;
   w.Request("lookup");
   BOOST_TEST((once < milliseconds(500)));
-  BOOST_TEST((w.last().reuse_within > std::chrono::seconds(5)));
+  BOOST_TEST((w.last().max_reuse_idle_time > std::chrono::seconds(5)));
 }
 
 BOOST_AUTO_TEST_CASE(LeavingEntryRefusesNewRequestsAndFinishesOthers) {
-  ForwardWorld w;
+  ForwardSimulation w;
   const ExchangeId old_request = w.Request("once");
-  w.controller.RefuseNew();
+  w.controller.RejectNewRequests();
   BOOST_TEST(*w.client(w.Request("once")).status == 503);
   w.Answer(w.port.sent.front(), 200, "done");
   BOOST_TEST(w.client(old_request).body == "done");
@@ -341,7 +341,7 @@
 // still have its first event in time. Guards against granting the next slot to
 // the first; it gets the slot after that.
 BOOST_AUTO_TEST_CASE(RequestThatCanBeInTimeGoesBeforeOneThatCameBack) {
-  ForwardWorld w({.servers = 1, .slots = 1});
+  ForwardSimulation w({.servers = 1, .slots = 1});
   for (int i = 0; i < 10; ++i) {
     w.Request("once");
     w.Answer(w.last(), 200, "done");
@@ -364,7 +364,7 @@
 // left. Guards against a client that comes back at once, meets the same burst
 // and has no further attempt.
 BOOST_AUTO_TEST_CASE(RetryAfterOutlastsTheBurst) {
-  ForwardWorld w({.servers = 1, .slots = 1});
+  ForwardSimulation w({.servers = 1, .slots = 1});
   w.Request("once");
   const ExchangeId waiting = w.Request("once");
   w.Advance(milliseconds(1700));
@@ -377,11 +377,11 @@
 // once it may count on the rate again. Guards against refusing the request
 // instead of answering it late.
 BOOST_AUTO_TEST_CASE(RequestBeyondTheRateWaitsForReportsOfOthers) {
-  ForwardWorld w({.controller = {.rates = {.tolerance = {.slack = 160}}},
-                  .servers = 2,
-                  .slots = 4,
-                  .configured = false});
-  RouteTableContent limited = ForwardWorld::Table();
+  ForwardSimulation w({.controller = {.rates = {.tolerance = {.slack = 160}}},
+                       .servers = 2,
+                       .slots = 4,
+                       .configured = false});
+  RouteTableContent limited = ForwardSimulation::Table();
   limited.teams.front().rate = {.per_second = 100, .burst = 100};
   w.controller.OnRouteTable(std::make_shared<const RouteTable>(limited));
   for (int i = 0; i < 4; ++i) {
