--- a/test/forward/forward_promises_test.cc
+++ b/test/forward/forward_promises_test.cc
@@ -7,13 +7,13 @@
 #include <string>
 #include <vector>
 
-#include "test/fakes/forward_world.h"
+#include "test/fakes/forward_simulation.h"
 
 namespace lavenderkeel {
 
 namespace {
 
-using fakes::ForwardWorld;
+using fakes::ForwardSimulation;
 using fakes::SentAttempt;
 using std::chrono::milliseconds;
 
@@ -27,7 +27,7 @@
   void Request() {
     const std::string route = *rc::gen::elementOf(
         std::vector<std::string>(std::begin(kRoutes), std::end(kRoutes)));
-    const ExchangeId exchange = world_.Request(route);
+    const ExchangeId exchange = simulation_.Request(route);
     routes_[exchange] = route;
     CollectSent();
   }
@@ -56,21 +56,21 @@
     const ExchangeId exchange = static_cast<ExchangeId>(
         *rc::gen::inRange<int>(1, static_cast<int>(routes_.size()) + 1));
     if (!HasEnded(exchange)) {
-      world_.controller.OnClientGone(exchange);
+      simulation_.controller.OnClientGone(exchange);
       gone_.insert(exchange);
     }
   }
 
   void AdvanceTime() {
-    world_.Advance(milliseconds(*rc::gen::inRange(1, 1500)));
+    simulation_.Advance(milliseconds(*rc::gen::inRange(1, 1500)));
     CollectSent();
   }
 
   /// Waits until every request has ended, then checks each.
   void Check() {
-    world_.Advance(std::chrono::seconds(11));
+    simulation_.Advance(std::chrono::seconds(11));
     CollectSent();
-    RC_ASSERT(world_.controller.open() == 0U);
+    RC_ASSERT(simulation_.controller.open() == 0U);
     for (const auto& [exchange, route] : routes_) {
       CheckRequest(exchange, route);
     }
@@ -86,14 +86,14 @@
   };
 
   bool HasEnded(ExchangeId exchange) {
-    const fakes::ClientView& client = world_.client(exchange);
+    const fakes::ClientView& client = simulation_.client(exchange);
     return client.ended || client.aborted || gone_.contains(exchange);
   }
 
   /// Collects the attempts that were sent since, and drops the cancelled ones.
   void CollectSent() {
-    for (; seen_ < world_.port.sent.size(); ++seen_) {
-      const SentAttempt& sent = world_.port.sent[seen_];
+    for (; seen_ < simulation_.port.sent.size(); ++seen_) {
+      const SentAttempt& sent = simulation_.port.sent[seen_];
       const std::string id = sent.Field("Request-Id");
       const std::string last = sent.Field("Last-Event-Id");
       open_.push_back({.sent = sent,
@@ -102,7 +102,7 @@
     }
     std::erase_if(open_, [this](const Attempt& attempt) {
       return std::ranges::any_of(
-          world_.port.sent, [&attempt](const SentAttempt& sent) {
+          simulation_.port.sent, [&attempt](const SentAttempt& sent) {
             return sent.attempt == attempt.sent.attempt && sent.cancelled;
           });
     });
@@ -112,16 +112,16 @@
     switch (*rc::gen::inRange(0, 6)) {
       case 0:
         attempt.over = true;
-        world_.controller.OnAttemptFailed(attempt.sent.attempt,
-                                          AttemptFailure::kNotConnected);
+        simulation_.controller.OnAttemptFailed(attempt.sent.attempt,
+                                               AttemptFailure::kNotConnected);
         return;
       case 1:
         attempt.over = true;
-        world_.Answer(attempt.sent, 503, "", {{"Not-Executed", "1"}});
+        simulation_.Answer(attempt.sent, 503, "", {{"Not-Executed", "1"}});
         return;
       case 2:
         attempt.over = true;
-        world_.Answer(attempt.sent, 421, "");
+        simulation_.Answer(attempt.sent, 421, "");
         return;
       default:
         attempt.ran = true;
@@ -135,14 +135,14 @@
     switch (*rc::gen::inRange(0, 6)) {
       case 0:
         attempt.over = true;
-        world_.controller.OnAttemptFailed(attempt.sent.attempt,
-                                          AttemptFailure::kBroken);
+        simulation_.controller.OnAttemptFailed(attempt.sent.attempt,
+                                               AttemptFailure::kBroken);
         return;
       case 1:
         // Only an attempt without a part of its answer can answer this.
         if (!HasStreamed(attempt)) {
           attempt.over = true;
-          world_.Answer(attempt.sent, 500, "error");
+          simulation_.Answer(attempt.sent, 500, "error");
         }
         return;
       default:
@@ -150,8 +150,8 @@
           SendNextEvent(attempt);
         } else {
           attempt.over = true;
-          world_.Answer(attempt.sent, 200,
-                        "answer to " + std::to_string(attempt.exchange));
+          simulation_.Answer(attempt.sent, 200,
+                             "answer to " + std::to_string(attempt.exchange));
         }
     }
   }
@@ -163,23 +163,23 @@
 
   void SendNextEvent(Attempt& attempt) {
     if (!HasStreamed(attempt)) {
-      world_.Head(
+      simulation_.Head(
           attempt.sent, 200,
           {{"Response-Seal", "seal"}, {"Content-Type", "text/event-stream"}});
     }
     if (attempt.next_event > kEvents) {
       attempt.over = true;
-      world_.controller.OnAnswerEnd(attempt.sent.attempt);
+      simulation_.controller.OnAnswerEnd(attempt.sent.attempt);
       return;
     }
     const std::string event =
-        ForwardWorld::EventText(attempt.next_event, attempt.next_event);
+        ForwardSimulation::EventText(attempt.next_event, attempt.next_event);
     ++attempt.next_event;
-    world_.controller.OnAnswerPart(attempt.sent.attempt, event);
+    simulation_.controller.OnAnswerChunk(attempt.sent.attempt, event);
   }
 
   void CheckRequest(ExchangeId exchange, const std::string& route) {
-    const fakes::ClientView& client = world_.client(exchange);
+    const fakes::ClientView& client = simulation_.client(exchange);
     const int runs = runs_[exchange];
     const bool non_repeatable = route == "once" || route == "once-stream";
     RC_ASSERT(runs <= (non_repeatable ? 1 : 2));
@@ -189,17 +189,18 @@
       RC_ASSERT(runs == 0);
     }
     if (client.ended && status == 200 && route.ends_with("stream")) {
-      RC_ASSERT(client.body == ForwardWorld::EventText(1, kEvents));
+      RC_ASSERT(client.body == ForwardSimulation::EventText(1, kEvents));
     }
     if (client.ended && status == 200 && !route.ends_with("stream")) {
       RC_ASSERT(client.body == "answer to " + std::to_string(exchange));
     }
     if (client.aborted) {
-      RC_ASSERT(ForwardWorld::EventText(1, kEvents).starts_with(client.body));
+      RC_ASSERT(
+          ForwardSimulation::EventText(1, kEvents).starts_with(client.body));
     }
   }
 
-  ForwardWorld world_{{.servers = 3, .slots = 2}};
+  ForwardSimulation simulation_{{.servers = 3, .slots = 2}};
   std::map<ExchangeId, std::string> routes_;
   std::map<ExchangeId, int> runs_;
   std::set<ExchangeId> gone_;
--- a/test/forward/long_requests_test.cc
+++ b/test/forward/long_requests_test.cc
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "lavenderkeel/forward/slot_gate.h"
+#include "lavenderkeel/forward/slot_scheduler.h"
 #include "test/fuzz/virtual_clock.h"
 
 namespace lavenderkeel {
@@ -21,19 +21,19 @@
 
 BOOST_AUTO_TEST_CASE(LongRequestsGoLastUntilTheirGrantedFractionFalls) {
   LongRequests requests;
-  BOOST_TEST(requests.GoLast());
+  BOOST_TEST(requests.ShouldGoLast());
   for (int i = 0; i < 50; ++i) {
     requests.OnEndOfWait(/*is_long=*/false, /*got_slot=*/true);
   }
   int refused = 0;
-  while (requests.GoLast()) {
+  while (requests.ShouldGoLast()) {
     requests.OnEndOfWait(/*is_long=*/true, /*got_slot=*/refused == 0);
     ++refused;
     BOOST_REQUIRE(refused < 20);
   }
   // Long requests get slots again, and in the end go last as before.
   int granted = 0;
-  while (!requests.GoLast()) {
+  while (!requests.ShouldGoLast()) {
     requests.OnEndOfWait(/*is_long=*/true, /*got_slot=*/true);
     ++granted;
     BOOST_REQUIRE(granted < 20);
@@ -47,7 +47,7 @@
   for (int i = 0; i < 500; ++i) {
     requests.OnEndOfWait(/*is_long=*/i % 15 == 0, /*got_slot=*/false);
   }
-  BOOST_TEST(requests.GoLast());
+  BOOST_TEST(requests.ShouldGoLast());
 }
 
 namespace {
@@ -81,7 +81,7 @@
   BurstResult result;
   constexpr double kEventMilliseconds = 25;
   const Duration target = milliseconds(250);
-  SlotGate scheduler(
+  SlotScheduler scheduler(
       {}, directory, clock, [&](const std::string&, const SlotGrant& grant) {
         Request& request = requests.at(grant.attempt);
         request.waiting = false;
@@ -104,16 +104,17 @@
         .events = events, .is_long = is_long, .arrived = clock.Now()};
     ++result.total;
     result.total_long += is_long ? 1 : 0;
-    const bool goes_last = is_long && long_requests.GoLast();
-    scheduler.Ask("entry", {.attempt = last,
-                            .service = "engines",
-                            .model_server = true,
-                            .route_priority = by_length && goes_last ? 1 : 0,
-                            .in_time_until = clock.Now() + target,
-                            .due = clock.Now() + std::chrono::seconds(12),
-                            .size = {.events = static_cast<uint32_t>(events)},
-                            .event_gap_target = target,
-                            .by_length = by_length && (!is_long || goes_last)});
+    const bool goes_last = is_long && long_requests.ShouldGoLast();
+    scheduler.RequestSlot("entry",
+                          {.attempt = last,
+                           .service = "engines",
+                           .model_server = true,
+                           .route_priority = by_length && goes_last ? 1 : 0,
+                           .in_time_until = clock.Now() + target,
+                           .due = clock.Now() + std::chrono::seconds(12),
+                           .size = {.events = static_cast<uint32_t>(events)},
+                           .event_gap_target = target,
+                           .by_length = by_length && (!is_long || goes_last)});
     clock.Advance(step);
     for (auto request = requests.begin(); request != requests.end();) {
       const AttemptId attempt = request->first;
@@ -126,11 +127,12 @@
         long_requests.OnEndOfWait(current.is_long, false);
       }
       if (times_out || ends) {
-        scheduler.Done("entry", attempt,
-                       {.kind = ends ? SlotResult::Kind::kAnswered
-                                     : SlotResult::Kind::kUnused,
-                        .pace_ms = ends ? std::optional(kEventMilliseconds)
-                                        : std::nullopt});
+        scheduler.ReleaseSlot(
+            "entry", attempt,
+            {.kind =
+                 ends ? SlotResult::Kind::kAnswered : SlotResult::Kind::kUnused,
+             .pace_ms =
+                 ends ? std::optional(kEventMilliseconds) : std::nullopt});
         requests.erase(attempt);
       }
     }
--- a/test/forward/plain_overload_test.cc
+++ b/test/forward/plain_overload_test.cc
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "lavenderkeel/forward/high_quantile.h"
+#include "lavenderkeel/forward/upper_quantile_estimator.h"
 #include "test/forward/scheduler_harness.h"
 
 namespace lavenderkeel {
@@ -77,7 +77,7 @@
     const TimePoint now = harness_.clock.Now();
     requests_[id] = {.arrived = now};
     ++result_.total;
-    harness_.scheduler.Ask(
+    harness_.scheduler.RequestSlot(
         "e",
         {.attempt = id,
          .service = "plain",
@@ -103,7 +103,7 @@
       }
     }
     for (const AttemptId id : timed_out) {
-      harness_.scheduler.Done("e", id, {});
+      harness_.scheduler.ReleaseSlot("e", id, {});
       requests_.erase(id);
       ++result_.refused;
     }
@@ -139,7 +139,8 @@
     requests_.erase(id);
     answer_ms_.Add(ToFractionalMilliseconds(now - request.sent));
     ++(now - request.arrived <= kTarget ? result_.in_time : result_.late);
-    harness_.scheduler.Done("e", id, {.kind = SlotResult::Kind::kAnswered});
+    harness_.scheduler.ReleaseSlot("e", id,
+                                   {.kind = SlotResult::Kind::kAnswered});
   }
 
   Options options_;
@@ -148,7 +149,7 @@
   std::lognormal_distribution<> work_factor_{-0.12, 0.5};
   std::map<AttemptId, Request> requests_;
   std::map<std::string, std::deque<AttemptId>> queues_;
-  HighQuantile answer_ms_;
+  UpperQuantileEstimator answer_ms_;
   AttemptId last_ = 0;
   Result result_;
 };
--- a/test/forward/client_age_test.cc
+++ b/test/forward/request_age_estimator_test.cc
@@ -1,4 +1,4 @@
-#include "lavenderkeel/forward/client_age.h"
+#include "lavenderkeel/forward/request_age_estimator.h"
 
 #include <boost/test/unit_test.hpp>
 #include <random>
@@ -21,7 +21,7 @@
 // against missing such a request and against taking a first attempt for one.
 BOOST_AUTO_TEST_CASE(RequestsThatComeBackAreDetected) {
   std::mt19937 random(1);
-  ClientAge age;
+  RequestAgeEstimator age;
   for (int i = 0; i < 200; ++i) {
     const Duration first = FirstAttemptTimeLeft(random);
     BOOST_TEST(age.OnRequest(first).count() == 0);
@@ -37,7 +37,7 @@
 // their time for the reference, by which all others would count as coming back.
 BOOST_AUTO_TEST_CASE(FewPatientClientsDoNotChangeTheReference) {
   std::mt19937 random(1);
-  ClientAge age;
+  RequestAgeEstimator age;
   age.OnRequest(seconds(30));
   int taken_for_repeats = 0;
   for (int i = 0; i < 400; ++i) {
--- a/test/forward/scheduler_harness.h
+++ b/test/forward/scheduler_harness.h
@@ -4,7 +4,7 @@
 #include <map>
 #include <string>
 
-#include "lavenderkeel/forward/slot_gate.h"
+#include "lavenderkeel/forward/slot_scheduler.h"
 #include "test/fuzz/virtual_clock.h"
 
 namespace lavenderkeel {
@@ -20,12 +20,12 @@
   fuzz::VirtualClock clock;
   ServerDirectory directory;
   std::map<AttemptId, std::string> granted;
-  SlotGate scheduler{{},
-                     directory,
-                     clock,
-                     [this](const std::string&, const SlotGrant& grant) {
-                       granted[grant.attempt] = grant.server;
-                     }};
+  SlotScheduler scheduler{{},
+                          directory,
+                          clock,
+                          [this](const std::string&, const SlotGrant& grant) {
+                            granted[grant.attempt] = grant.server;
+                          }};
 };
 
 }  // namespace lavenderkeel
--- a/test/forward/server_directory_test.cc
+++ b/test/forward/server_directory_test.cc
@@ -37,11 +37,11 @@
 BOOST_AUTO_TEST_CASE(RestartedServerIsADifferentServer) {
   ServerDirectory directory;
   BackendServer server = Server("a");
-  server.born = 1000;
+  server.start_time_ms = 1000;
   const std::string previous = server.start_key();
   directory.Apply(server);
   BOOST_TEST(directory.Find(previous) != nullptr);
-  server.born = 2000;
+  server.start_time_ms = 2000;
   directory.Apply(server);
   BOOST_TEST(directory.Find(previous) == nullptr);
   BOOST_TEST(directory.Find(server.start_key())->id == "a");
@@ -57,9 +57,9 @@
 BOOST_AUTO_TEST_CASE(RestartedServerIsNotMissingFromTheList) {
   ServerDirectory directory;
   BackendServer server = Server("a");
-  server.born = 1000;
+  server.start_time_ms = 1000;
   directory.ApplyList({server}, kStart);
-  server.born = 2000;
+  server.start_time_ms = 2000;
   directory.ApplyList({server}, kStart);
   BOOST_TEST(directory.Usable("s").size() == 1U);
 }
@@ -71,7 +71,7 @@
   ServerDirectory directory({.relist_timeout = milliseconds(1900)});
   directory.ApplyList({Server("a"), Server("b")}, kStart);
   directory.OnOutage();
-  directory.OnReturn(kStart);
+  directory.OnRecovery(kStart);
   directory.ApplyList({}, kStart);
   directory.Tick(kStart + milliseconds(1800));
   BOOST_TEST(directory.Usable("s").size() == 2U);
@@ -89,7 +89,7 @@
   ServerDirectory directory;
   directory.ApplyList({Server("a"), Server("b"), Server("c")}, kStart);
   directory.OnOutage();
-  directory.OnReturn(kStart);
+  directory.OnRecovery(kStart);
   directory.ApplyList({Server("a"), Server("b")}, kStart);
   BOOST_TEST(directory.Usable("s").size() == 2U);
 }
@@ -98,7 +98,7 @@
   ServerDirectory directory({.relist_timeout = milliseconds(1900)});
   directory.ApplyList({Server("a")}, kStart);
   directory.OnOutage();
-  directory.OnReturn(kStart);
+  directory.OnRecovery(kStart);
   directory.Remove("a", kStart + milliseconds(300));
   BOOST_TEST((directory.Find("a") != nullptr));
   directory.Tick(kStart + milliseconds(1900));
@@ -109,7 +109,7 @@
   ServerDirectory directory;
   directory.ApplyList({Server("a", /*draining=*/true)}, kStart);
   directory.OnOutage();
-  directory.OnReturn(kStart);
+  directory.OnRecovery(kStart);
   directory.Remove("a", kStart);
   BOOST_TEST((directory.Find("a") == nullptr));
 }
--- a/test/forward/server_fit_test.cc
+++ b/test/forward/server_fit_test.cc
@@ -31,16 +31,17 @@
   }
 
   void RequestSlot(AttemptId attempt, const WorkSize& size) {
-    scheduler.Ask("entry", {.attempt = attempt,
-                            .service = "engines",
-                            .model_server = true,
-                            .in_time_until = clock.Now() + milliseconds(300),
-                            .due = clock.Now() + seconds(10),
-                            .size = size,
-                            .event_gap_target = milliseconds(250)});
+    scheduler.RequestSlot("entry",
+                          {.attempt = attempt,
+                           .service = "engines",
+                           .model_server = true,
+                           .in_time_until = clock.Now() + milliseconds(300),
+                           .due = clock.Now() + seconds(10),
+                           .size = size,
+                           .event_gap_target = milliseconds(250)});
   }
   void Done(AttemptId attempt, const SlotResult& result = {}) {
-    scheduler.Done("entry", attempt, result);
+    scheduler.ReleaseSlot("entry", attempt, result);
   }
   /// Takes both slots of the fast server.
   void FillFast() {
@@ -78,7 +79,7 @@
   h.RequestSlot(22, {.prompt_tokens = 5000, .events = 20});
   BOOST_TEST(h.ServerOf(22) == "none");
   h.clock.Advance(milliseconds(310));
-  h.scheduler.Dispatch();
+  h.scheduler.GrantFreeSlots();
   BOOST_TEST(h.ServerOf(22) == "slow");
 }
 
--- a/test/forward/size_estimate_test.cc
+++ b/test/forward/size_estimate_test.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-RequestTerms Expecting(uint64_t output_tokens) {
+RequestMetadata Expecting(uint64_t output_tokens) {
   return {.prompt_tokens = 700, .expected_output_tokens = output_tokens};
 }
 
@@ -22,7 +22,7 @@
 
 BOOST_AUTO_TEST_CASE(EstimateIsZeroBeforeFirstAnswer) {
   const SizeEstimate sizes;
-  BOOST_TEST((sizes.Of(Expecting(600)) ==
+  BOOST_TEST((sizes.EstimateFor(Expecting(600)) ==
               WorkSize{.prompt_tokens = 700, .events = 0}));
   BOOST_TEST(!sizes.IsLong(Expecting(100'000)));
 }
@@ -30,7 +30,7 @@
 BOOST_AUTO_TEST_CASE(EventsFollowExpectedOutputTokens) {
   SizeEstimate sizes;
   AddAnswers(sizes, 100, /*tokens_per_event=*/6);
-  BOOST_TEST(sizes.Of(Expecting(600)).events == 100U);
+  BOOST_TEST(sizes.EstimateFor(Expecting(600)).events == 100U);
   BOOST_TEST(sizes.IsLong(Expecting(600)));
   BOOST_TEST(!sizes.IsLong(Expecting(120)));
 }
@@ -38,7 +38,7 @@
 BOOST_AUTO_TEST_CASE(RequestWithoutHintCountsAsAverage) {
   SizeEstimate sizes;
   AddAnswers(sizes, 100, /*tokens_per_event=*/6);
-  const uint32_t events = sizes.Of(Expecting(0)).events;
+  const uint32_t events = sizes.EstimateFor(Expecting(0)).events;
   BOOST_TEST(events >= 15U);
   BOOST_TEST(events <= 25U);
   BOOST_TEST(!sizes.IsLong(Expecting(0)));
@@ -50,7 +50,7 @@
   SizeEstimate sizes;
   AddAnswers(sizes, 200, /*tokens_per_event=*/6);
   AddAnswers(sizes, 300, /*tokens_per_event=*/18);
-  const uint32_t events = sizes.Of(Expecting(1800)).events;
+  const uint32_t events = sizes.EstimateFor(Expecting(1800)).events;
   BOOST_TEST(events >= 90U);
   BOOST_TEST(events <= 110U);
 }
--- a/test/forward/slot_router_test.cc
+++ b/test/forward/slot_router_test.cc
@@ -22,29 +22,30 @@
   }
 
   void RequestSlot(AttemptId attempt) {
-    router.Ask(
+    router.RequestSlot(
         {.attempt = attempt, .service = "engines", .model_server = true});
   }
   void ReportFromAll() {
     for (const char* entry : {"b", "c", "d"}) {
-      router.OnHeard(entry, {});
+      router.OnReport(entry, {});
     }
   }
 
   fuzz::VirtualClock clock;
   EventLog log;
   ServerDirectory directory;
-  std::vector<std::pair<std::string, SlotAsk>> sent_requests;
+  std::vector<std::pair<std::string, SlotRequest>> sent_requests;
   SlotRouter router{
       {.self = "a"},
       directory,
       clock,
       log,
-      {.ask =
-           [this](const std::string& scheduler, const SlotAsk& request) {
+      {.request_slot =
+           [this](const std::string& scheduler, const SlotRequest& request) {
              sent_requests.emplace_back(scheduler, request);
            },
-       .done = [](const std::string&, AttemptId, const SlotResult&) {}}};
+       .release_slot =
+           [](const std::string&, AttemptId, const SlotResult&) {}}};
 };
 
 }  // namespace
@@ -64,7 +65,8 @@
   Harness h(3);
   h.ReportFromAll();
   h.RequestSlot(1);
-  h.router.Ask({.attempt = 2, .service = "engines", .model_server = false});
+  h.router.RequestSlot(
+      {.attempt = 2, .service = "engines", .model_server = false});
   BOOST_TEST(h.sent_requests[1].first == h.sent_requests[0].first);
   BOOST_TEST(h.sent_requests[1].first != "a");
 }
@@ -86,7 +88,7 @@
   h.clock.Advance(milliseconds(300));
   for (const char* entry : {"b", "c", "d"}) {
     if (entry != first) {
-      h.router.OnHeard(entry, {});
+      h.router.OnReport(entry, {});
     }
   }
   h.clock.Advance(milliseconds(200));
@@ -116,10 +118,10 @@
   Harness h(180);
   h.RequestSlot(1);
   BOOST_TEST(h.sent_requests.back().second.group.count == 11U);
-  h.router.set_weakest_host(0.09);
+  h.router.set_min_host_processor_share(0.09);
   h.RequestSlot(2);
   BOOST_TEST(h.sent_requests.back().second.group.count == 11U);
-  h.router.set_weakest_host(0.5);
+  h.router.set_min_host_processor_share(0.5);
   h.RequestSlot(3);
   BOOST_TEST(h.sent_requests.back().second.group.count == 2U);
 }
@@ -127,7 +129,7 @@
 BOOST_AUTO_TEST_CASE(EntryWithoutSchedulersUsesAnother) {
   Harness h(40);
   h.ReportFromAll();
-  h.router.set_hosts_gates(false);
+  h.router.set_hosts_schedulers(false);
   for (AttemptId attempt = 1; attempt <= 20; ++attempt) {
     h.RequestSlot(attempt);
     BOOST_TEST(h.sent_requests.back().first != "a");
@@ -147,7 +149,7 @@
 BOOST_AUTO_TEST_CASE(GroupWithMostFreeSlotsIsChosen) {
   Harness h(40);
   const uint64_t service = HashBytes("engines");
-  h.router.OnHeard(
+  h.router.OnReport(
       "a",
       {{.service_hash = service, .group = {.index = 0, .count = 2}, .free = 1},
        {.service_hash = service,
--- a/test/forward/slot_gate_test.cc
+++ b/test/forward/slot_scheduler_test.cc
@@ -1,4 +1,4 @@
-#include "lavenderkeel/forward/slot_gate.h"
+#include "lavenderkeel/forward/slot_scheduler.h"
 
 #include <rapidcheck.h>
 
@@ -31,13 +31,14 @@
                    AttemptId attempt,
                    int priority = 0,
                    int route_priority = 0) {
-    scheduler.Ask(entry, {.attempt = attempt,
-                          .service = "engines",
-                          .model_server = true,
-                          .priority = priority,
-                          .route_priority = route_priority,
-                          .in_time_until = clock.Now() + milliseconds(500),
-                          .due = clock.Now() + std::chrono::seconds(10)});
+    scheduler.RequestSlot(entry,
+                          {.attempt = attempt,
+                           .service = "engines",
+                           .model_server = true,
+                           .priority = priority,
+                           .route_priority = route_priority,
+                           .in_time_until = clock.Now() + milliseconds(500),
+                           .due = clock.Now() + std::chrono::seconds(10)});
   }
 };
 
@@ -52,7 +53,7 @@
   h.RequestSlot("a", 3, /*priority=*/2);
   h.RequestSlot("b", 4, /*priority=*/1);
   BOOST_TEST(h.granted.size() == 2U);
-  h.scheduler.Done("b", 2, {.kind = SlotResult::Kind::kAnswered});
+  h.scheduler.ReleaseSlot("b", 2, {.kind = SlotResult::Kind::kAnswered});
   BOOST_TEST(h.ServerOf(4) == "s1");
   BOOST_TEST(h.ServerOf(3) == "none");
 }
@@ -66,10 +67,10 @@
   h.RequestSlot("a", 3);
   h.clock.Advance(milliseconds(600));
   h.RequestSlot("a", 4);
-  h.scheduler.Done("a", 1, {.kind = SlotResult::Kind::kAnswered});
+  h.scheduler.ReleaseSlot("a", 1, {.kind = SlotResult::Kind::kAnswered});
   BOOST_TEST(h.ServerOf(4) == "s1");
   BOOST_TEST(h.ServerOf(3) == "none");
-  h.scheduler.Done("a", 2, {.kind = SlotResult::Kind::kAnswered});
+  h.scheduler.ReleaseSlot("a", 2, {.kind = SlotResult::Kind::kAnswered});
   BOOST_TEST(h.ServerOf(3) == "s1");
 }
 
@@ -104,7 +105,7 @@
   h.RequestSlot("a", 1);
   h.RequestSlot("a", 2);
   h.RequestSlot("b", 3);
-  h.scheduler.ForgetAsker("a");
+  h.scheduler.ForgetEntry("a");
   BOOST_TEST(h.ServerOf(3) == "s1");
 }
 
@@ -114,7 +115,7 @@
   Harness h(2);
   h.RequestSlot("a", 1);
   const std::string crashed = h.ServerOf(1);
-  h.scheduler.Done("a", 1, {.kind = SlotResult::Kind::kFailed});
+  h.scheduler.ReleaseSlot("a", 1, {.kind = SlotResult::Kind::kFailed});
   for (AttemptId attempt = 2; attempt <= 4; ++attempt) {
     h.RequestSlot("a", attempt);
   }
@@ -122,7 +123,7 @@
   BOOST_TEST(h.ServerOf(3) != crashed);
   BOOST_TEST(h.ServerOf(4) == "none");
   h.clock.Advance(milliseconds(260));
-  h.scheduler.Dispatch();
+  h.scheduler.GrantFreeSlots();
   BOOST_TEST(h.ServerOf(4) == crashed);
 }
 
@@ -134,11 +135,12 @@
   h.RequestSlot("a", 1);
   h.RequestSlot("a", 2);
   h.RequestSlot("a", 3);
-  h.directory.Apply({.id = "s1", .born = 5, .service = "engines", .slots = 2});
-  h.scheduler.Dispatch();
+  h.directory.Apply(
+      {.id = "s1", .start_time_ms = 5, .service = "engines", .slots = 2});
+  h.scheduler.GrantFreeSlots();
   BOOST_TEST(h.ServerOf(3) == "s1#5");
-  h.scheduler.Done("a", 1, {.kind = SlotResult::Kind::kUnreachable});
-  h.scheduler.Done("a", 2, {.kind = SlotResult::Kind::kUnreachable});
+  h.scheduler.ReleaseSlot("a", 1, {.kind = SlotResult::Kind::kUnreachable});
+  h.scheduler.ReleaseSlot("a", 2, {.kind = SlotResult::Kind::kUnreachable});
   h.RequestSlot("a", 4);
   BOOST_TEST(h.ServerOf(4) == "s1#5");
 }
@@ -151,14 +153,14 @@
   AttemptId last = 0;
   for (int i = 0; i < 40; ++i) {
     h.RequestSlot("a", ++last);
-    h.scheduler.Done("a", last, {.kind = SlotResult::Kind::kAnswered});
+    h.scheduler.ReleaseSlot("a", last, {.kind = SlotResult::Kind::kAnswered});
   }
   h.RequestSlot("a", ++last);
   const std::string failing = h.ServerOf(last);
-  h.scheduler.Done("a", last, {.kind = SlotResult::Kind::kFailed});
+  h.scheduler.ReleaseSlot("a", last, {.kind = SlotResult::Kind::kFailed});
   h.RequestSlot("a", ++last);
   BOOST_TEST(h.ServerOf(last) == failing);
-  h.scheduler.Done("a", last, {.kind = SlotResult::Kind::kFailed});
+  h.scheduler.ReleaseSlot("a", last, {.kind = SlotResult::Kind::kFailed});
   h.RequestSlot("a", ++last);
   BOOST_TEST(h.ServerOf(last) != failing);
 }
@@ -191,8 +193,8 @@
         const auto ended = std::next(
             open_attempts.begin(),
             *rc::gen::inRange<int>(0, static_cast<int>(open_attempts.size())));
-        h.scheduler.Done(ended->second, ended->first,
-                         {.kind = SlotResult::Kind::kAnswered});
+        h.scheduler.ReleaseSlot(ended->second, ended->first,
+                                {.kind = SlotResult::Kind::kAnswered});
         h.granted.erase(ended->first);
         open_attempts.erase(ended);
       }
--- a/test/forward/suspect_runs_test.cc
+++ b/test/forward/suspect_runs_test.cc
@@ -18,13 +18,14 @@
     }
   }
 
-  void RequestSlot(AttemptId attempt, CrashStanding suspicion) {
-    scheduler.Ask("a", {.attempt = attempt,
-                        .service = "engines",
-                        .model_server = true,
-                        .in_time_until = clock.Now() + milliseconds(500),
-                        .due = clock.Now() + std::chrono::seconds(10),
-                        .standing = suspicion});
+  void RequestSlot(AttemptId attempt, CrashSuspicion suspicion) {
+    scheduler.RequestSlot("a",
+                          {.attempt = attempt,
+                           .service = "engines",
+                           .model_server = true,
+                           .in_time_until = clock.Now() + milliseconds(500),
+                           .due = clock.Now() + std::chrono::seconds(10),
+                           .suspicion = suspicion});
   }
 };
 
@@ -34,43 +35,43 @@
 // and then be blocked like it.
 BOOST_AUTO_TEST_CASE(DoubtfulRequestsShareNoServerWithOtherSuspects) {
   Harness h(2);
-  h.RequestSlot(1, CrashStanding::kDoubtful);
-  h.RequestSlot(2, CrashStanding::kDoubtful);
-  h.RequestSlot(3, CrashStanding::kSuspect);
+  h.RequestSlot(1, CrashSuspicion::kDoubtful);
+  h.RequestSlot(2, CrashSuspicion::kDoubtful);
+  h.RequestSlot(3, CrashSuspicion::kSuspect);
   BOOST_TEST(h.ServerOf(1) != h.ServerOf(2));
   BOOST_TEST(h.ServerOf(2) != "none");
   BOOST_TEST(h.ServerOf(3) == "none");
-  h.RequestSlot(4, CrashStanding::kDoubtful);
+  h.RequestSlot(4, CrashSuspicion::kDoubtful);
   BOOST_TEST(h.ServerOf(4) == "none");
-  h.scheduler.Done("a", 1, {.kind = SlotResult::Kind::kAnswered});
+  h.scheduler.ReleaseSlot("a", 1, {.kind = SlotResult::Kind::kAnswered});
   BOOST_TEST(h.ServerOf(3) == h.ServerOf(1));
 }
 
 BOOST_AUTO_TEST_CASE(OtherRequestsAvoidServerOfDoubtfulOne) {
   Harness h(2);
-  h.RequestSlot(1, CrashStanding::kDoubtful);
+  h.RequestSlot(1, CrashSuspicion::kDoubtful);
   for (const AttemptId attempt : {2U, 3U, 4U, 5U}) {
-    h.RequestSlot(attempt, CrashStanding::kClear);
+    h.RequestSlot(attempt, CrashSuspicion::kClear);
     BOOST_TEST(h.ServerOf(attempt) != h.ServerOf(1));
   }
   // A shared server is better than none.
-  h.RequestSlot(6, CrashStanding::kClear);
+  h.RequestSlot(6, CrashSuspicion::kClear);
   BOOST_TEST(h.ServerOf(6) == h.ServerOf(1));
 }
 
 BOOST_AUTO_TEST_CASE(DoubtfulRequestRunsOnLeastLoadedServer) {
   Harness h(2);
-  h.RequestSlot(1, CrashStanding::kClear);
-  h.RequestSlot(2, CrashStanding::kDoubtful);
+  h.RequestSlot(1, CrashSuspicion::kClear);
+  h.RequestSlot(2, CrashSuspicion::kDoubtful);
   BOOST_TEST(h.ServerOf(2) != h.ServerOf(1));
 }
 
 // The suspects of a lost entry must not keep servers reserved.
 BOOST_AUTO_TEST_CASE(SuspectsOfLostEntryAreRemoved) {
   Harness h(1);
-  h.RequestSlot(1, CrashStanding::kDoubtful);
-  h.scheduler.ForgetAsker("a");
-  h.RequestSlot(2, CrashStanding::kDoubtful);
+  h.RequestSlot(1, CrashSuspicion::kDoubtful);
+  h.scheduler.ForgetEntry("a");
+  h.RequestSlot(2, CrashSuspicion::kDoubtful);
   BOOST_TEST(h.ServerOf(2) == "s1");
 }
 
--- a/test/forward/team_bucket_test.cc
+++ b/test/forward/team_token_bucket_test.cc
@@ -1,4 +1,4 @@
-#include "lavenderkeel/forward/team_bucket.h"
+#include "lavenderkeel/forward/team_token_bucket.h"
 
 #include <rapidcheck.h>
 
@@ -20,7 +20,7 @@
 }  // namespace
 
 BOOST_AUTO_TEST_CASE(WaitAfterBurstSuffices) {
-  TeamBucket bucket;
+  TeamTokenBucket bucket;
   BOOST_TEST(!bucket.Take(kRate, 2000, 1, kStart).has_value());
   const auto wait = bucket.Take(kRate, 500, 1, kStart);
   BOOST_REQUIRE(wait.has_value());
@@ -29,13 +29,13 @@
 }
 
 BOOST_AUTO_TEST_CASE(RequestLargerThanBurstPassesWhenBucketIsFull) {
-  TeamBucket bucket;
+  TeamTokenBucket bucket;
   BOOST_TEST(!bucket.Take(kRate, 5000, 1, kStart).has_value());
   BOOST_TEST(bucket.Take(kRate, 1, 1, kStart).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(UsageReportedByOthersCounts) {
-  TeamBucket bucket;
+  TeamTokenBucket bucket;
   bucket.Take(kRate, 1, 1, kStart);
   bucket.OnPeerTotal("b", 100);
   bucket.OnPeerTotal("b", 2100);
@@ -45,7 +45,7 @@
 // A new entry receives a peer's total since its start. The team must not be
 // refused for it: most of it has been refilled since.
 BOOST_AUTO_TEST_CASE(FirstReportOfPeerLeavesNoDebt) {
-  TeamBucket bucket;
+  TeamTokenBucket bucket;
   bucket.Take(kRate, 1, 1, kStart);
   bucket.OnPeerTotal("b", 1'000'000);
   BOOST_TEST(bucket.level() == 0);
@@ -59,11 +59,11 @@
     constexpr size_t kEntries = 4;
     constexpr TeamRate kLimit = {
         .per_second = 30'000, .burst = 110'000, .in_tokens = true};
-    constexpr TeamBucket::Tolerance kTolerance = {.over = 0.1,
-                                                  .slack = 190'000};
+    constexpr TeamTokenBucket::Tolerance kTolerance = {.over = 0.1,
+                                                       .slack = 190'000};
     constexpr Duration kWindow = std::chrono::seconds(8);
-    const TeamRate target = TeamBucket::TargetRate(kLimit, kTolerance);
-    std::array<TeamBucket, kEntries> buckets;
+    const TeamRate target = TeamTokenBucket::TargetRate(kLimit, kTolerance);
+    std::array<TeamTokenBucket, kEntries> buckets;
     std::vector<std::pair<TimePoint, double>> passed;
     const int units = *rc::gen::inRange(200, 6000);
     constexpr int kSteps = 1500;
@@ -109,13 +109,14 @@
   constexpr size_t kEntries = 30;
   constexpr TeamRate kLimit = {
       .per_second = 200'000, .burst = 200'000, .in_tokens = true};
-  constexpr TeamBucket::Tolerance kTolerance = {.over = 0.1, .slack = 190'000};
-  const TeamRate target = TeamBucket::TargetRate(kLimit, kTolerance);
+  constexpr TeamTokenBucket::Tolerance kTolerance = {.over = 0.1,
+                                                     .slack = 190'000};
+  const TeamRate target = TeamTokenBucket::TargetRate(kLimit, kTolerance);
   const TimePoint restart = kStart + std::chrono::seconds(8);
   const TimePoint connected = restart + std::chrono::milliseconds(250);
   const double initial =
       kTolerance.slack * (1 - kTolerance.used_fraction_of_slack);
-  std::vector<TeamBucket> buckets(kEntries);
+  std::vector<TeamTokenBucket> buckets(kEntries);
   std::vector<RateShare> shares(
       kEntries, RateShare({}, kStart - std::chrono::seconds(8)));
   double passed_before = 0;
@@ -126,7 +127,7 @@
   for (int i = 0; i < kSteps; ++i) {
     const TimePoint now = kStart + std::chrono::milliseconds(5 * i);
     if (now == restart) {
-      buckets.assign(kEntries, TeamBucket(restart, initial));
+      buckets.assign(kEntries, TeamTokenBucket(restart, initial));
       shares.assign(kEntries, RateShare({}, restart));
     }
     const bool isolated = now >= restart && now < connected;
@@ -136,7 +137,7 @@
       shares[entry].OnPeerCount(isolated ? 1 : kEntries,
                                 isolated ? 1 : kEntries, now);
       const bool taken =
-          shares[entry].Joining(now)
+          shares[entry].IsJoining(now)
               ? buckets[entry].TakeShare(target, kUnits,
                                          shares[entry].JoiningShare(), now)
               : !buckets[entry].Take(target, kUnits, 1, now).has_value();
@@ -150,8 +151,8 @@
         if (from != to) {
           buckets[to].OnPeerTotal(
               std::to_string(from), buckets[from].used(),
-              now < restart ? TeamBucket::FirstTotal::kLongRunning
-                            : TeamBucket::FirstTotal::kStartedTogether);
+              now < restart ? TeamTokenBucket::FirstTotal::kLongRunning
+                            : TeamTokenBucket::FirstTotal::kStartedTogether);
         }
       }
     }
--- a/test/forward/draw_relay_test.cc
+++ b/test/forward/usage_relay_test.cc
@@ -1,4 +1,4 @@
-#include "lavenderkeel/forward/draw_relay.h"
+#include "lavenderkeel/forward/usage_relay.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -10,8 +10,8 @@
 const PeerId kFirst{.instance = "a", .incarnation = 1};
 const PeerId kSecond{.instance = "b", .incarnation = 1};
 
-double RelayedTotal(const DrawRelay& relay, const PeerId& entry) {
-  for (const auto& [team, total] : relay.For(entry, /*all=*/true)) {
+double RelayedTotal(const UsageRelay& relay, const PeerId& entry) {
+  for (const auto& [team, total] : relay.TotalsFor(entry, /*all=*/true)) {
     if (team == kTeam) {
       return total;
     }
@@ -22,7 +22,7 @@
 }  // namespace
 
 BOOST_AUTO_TEST_CASE(EntryGetsOnlyUsageOfOthers) {
-  DrawRelay relay;
+  UsageRelay relay;
   relay.OnTotals(kFirst, {}, /*passes_on=*/true);
   relay.OnTotals(kSecond, {}, true);
   relay.OnTotals(kFirst, {{kTeam, 30}}, true);
@@ -36,7 +36,7 @@
 // earlier usage is counted everywhere; relayed again, it would use up the
 // team's rate, and its callers would get 429 without cause.
 BOOST_AUTO_TEST_CASE(UsageRelayedByAnotherIsNotCountedAgain) {
-  DrawRelay relay;
+  UsageRelay relay;
   relay.OnTotals(kFirst, {{kTeam, 1000}}, false);
   relay.OnTotals(kFirst, {{kTeam, 1200}}, false);
   relay.OnTotals(kFirst, {{kTeam, 1250}}, true);
@@ -47,7 +47,7 @@
 // still be excluded from its totals, otherwise its teams would be charged
 // twice.
 BOOST_AUTO_TEST_CASE(OwnUsageStaysExcludedAfterReconnect) {
-  DrawRelay relay;
+  UsageRelay relay;
   relay.OnTotals(kFirst, {}, true);
   relay.OnTotals(kFirst, {{kTeam, 80}}, true);
   BOOST_TEST(RelayedTotal(relay, kFirst) == 0);
@@ -59,13 +59,13 @@
 }
 
 BOOST_AUTO_TEST_CASE(OnlyChangesAreSentBetweenFullReports) {
-  DrawRelay relay;
+  UsageRelay relay;
   relay.OnTotals(kFirst, {}, true);
   relay.OnTotals(kFirst, {{kTeam, 1}, {kTeam + 1, 1}}, true);
-  relay.EndRound();
+  relay.ClearChanges();
   relay.OnTotals(kFirst, {{kTeam, 2}, {kTeam + 1, 1}}, true);
-  BOOST_TEST(relay.For(kSecond, /*all=*/false).size() == 1U);
-  BOOST_TEST(relay.For(kSecond, /*all=*/true).size() == 2U);
+  BOOST_TEST(relay.TotalsFor(kSecond, /*all=*/false).size() == 1U);
+  BOOST_TEST(relay.TotalsFor(kSecond, /*all=*/true).size() == 2U);
 }
 
 }  // namespace lavenderkeel
--- a/test/fuzz/driver.cc
+++ b/test/fuzz/driver.cc
@@ -162,7 +162,7 @@
     CheckChanges();
   }
 
-  World& simulation() { return simulation_; }
+  Simulation& simulation() { return simulation_; }
 
  private:
   void Submit(size_t entry, const Step& step) {
@@ -260,7 +260,7 @@
     }
   }
 
-  World simulation_;
+  Simulation simulation_;
   std::vector<SentRequest> sent_;
   std::vector<CallerId> changes_;
 };
--- a/test/fuzz/oracle.cc
+++ b/test/fuzz/oracle.cc
@@ -122,7 +122,7 @@
   }
 }
 
-void Oracle::OnReply(const ReplyWhole& reply) {
+void Oracle::OnReply(const ReplyComplete& reply) {
   const auto code = static_cast<ResultCode>(
       std::atoi(HeaderOf(reply.headers, "Lavenderkeel-Result").c_str()));
   const auto found = callers_.find(reply.caller);
@@ -147,7 +147,7 @@
   found->second.streaming = true;
 }
 
-void Oracle::OnReply(const ReplyData& reply) {
+void Oracle::OnReply(const ReplyChunk& reply) {
   const auto found = callers_.find(reply.caller);
   if (found != callers_.end()) {
     found->second.bytes += reply.bytes;
--- a/test/fuzz/oracle.h
+++ b/test/fuzz/oracle.h
@@ -39,9 +39,9 @@
   /// Handles a caller's connection that broke before an outcome.
   void OnDisconnect(CallerId caller);
 
-  void OnReply(const ReplyWhole& reply);
+  void OnReply(const ReplyComplete& reply);
   void OnReply(const ReplyHead& reply);
-  void OnReply(const ReplyData& reply);
+  void OnReply(const ReplyChunk& reply);
   void OnReply(const ReplyEnd& reply);
   void OnReply(const ReplyAbort& reply);
 
--- a/test/fuzz/world.cc
+++ b/test/fuzz/world.cc
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-struct World::Process {
+struct Simulation::Process {
   InstanceInfo info;
   std::unique_ptr<VirtualClock> clock;
   Metrics metrics;
@@ -68,7 +68,7 @@
   Outbox& outbox() { return entry ? entry->outbox() : agent->outbox(); }
 };
 
-struct World::PeerLink {
+struct Simulation::PeerLink {
   size_t ends[2] = {};
   uint64_t incarnations[2] = {};
   bool open[2] = {true, true};
@@ -76,13 +76,13 @@
   TimePoint last_delivery[2];
 };
 
-struct World::EngineStream {
+struct Simulation::EngineStream {
   std::string request_id;
   size_t next = 0;
   bool stalled = false;
 };
 
-World::World(Options options)
+Simulation::Simulation(Options options)
     : options_(std::move(options)), random_(options_.seed) {
   options_.entry.operator_key_sha256 = Sha256Hex(kOperatorKey);
   next_tick_ = clock_.Now();
@@ -111,7 +111,7 @@
           const auto agents = entry(i)->members().Members(Role::kAgent);
           const bool linked = std::ranges::all_of(
               agents, [](const Member* m) { return m->live(); });
-          if (!entry(i)->Ready() || agents.size() < options_.agents ||
+          if (!entry(i)->IsReady() || agents.size() < options_.agents ||
               !linked) {
             return false;
           }
@@ -122,9 +122,9 @@
   RunFor(std::chrono::seconds(1));
 }
 
-World::~World() = default;
+Simulation::~Simulation() = default;
 
-void World::MakeEngine(size_t agent) {
+void Simulation::MakeEngine(size_t agent) {
   engines_[agent] = std::make_unique<fakes::EngineCore>(
       fakes::EngineCore::Options{.step = std::chrono::milliseconds(40)});
   engines_[agent]->on_start = [this, agent](const std::string& prompt) {
@@ -142,7 +142,7 @@
   };
 }
 
-void World::CrashEngine(size_t agent, Duration down) {
+void Simulation::CrashEngine(size_t agent, Duration down) {
   if (clock_.Now() < engine_up_at_[agent]) {
     return;
   }
@@ -151,52 +151,54 @@
   MakeEngine(agent);
   const size_t index = options_.entries + agent;
   for (const auto& [run, stream] : processes_[index]->streams) {
-    ScheduleServerEnd(index, run, ServerEnd::kBroken);
+    ScheduleServerEnd(index, run, ServerDisconnect::kBroken);
   }
   processes_[index]->streams.clear();
 }
 
-void World::ScheduleServerEnd(size_t index, RunId run, ServerEnd end) {
+void Simulation::ScheduleServerEnd(size_t index,
+                                   RunId run,
+                                   ServerDisconnect end) {
   ScheduleIn(index, clock_.Now() + Delay(), [this, index, run, end] {
-    processes_[index]->agent->gate().server().OnServerEnd(run, end);
+    processes_[index]->agent->gate().server().OnServerDisconnect(run, end);
   });
 }
 
-uint64_t World::bytes_sent(size_t process) const {
+uint64_t Simulation::bytes_sent(size_t process) const {
   return processes_[process]->bytes_sent;
 }
 
-uint64_t World::messages_sent(size_t process) const {
+uint64_t Simulation::messages_sent(size_t process) const {
   return processes_[process]->messages_sent;
 }
 
-bool World::alive(size_t process) const {
+bool Simulation::alive(size_t process) const {
   return processes_[process]->alive;
 }
 
-EntryNode* World::entry(size_t index) {
+EntryNode* Simulation::entry(size_t index) {
   return processes_[index]->entry.get();
 }
 
-AgentNode* World::agent(size_t index) {
+AgentNode* Simulation::agent(size_t index) {
   return processes_[options_.entries + index]->agent.get();
 }
 
-fakes::EngineCore& World::engine(size_t agent) {
+fakes::EngineCore& Simulation::engine(size_t agent) {
   return *engines_[agent];
 }
 
-Duration World::Delay() {
+Duration Simulation::Delay() {
   return Duration(500 + static_cast<int64_t>(random_() % 3000));
 }
 
-void World::Schedule(TimePoint when, std::function<void()> task) {
+void Simulation::Schedule(TimePoint when, std::function<void()> task) {
   queue_[{when, ++last_event_}] = std::move(task);
 }
 
-void World::ScheduleIn(size_t index,
-                       TimePoint when,
-                       std::function<void()> task) {
+void Simulation::ScheduleIn(size_t index,
+                            TimePoint when,
+                            std::function<void()> task) {
   Schedule(when,
            [this, index, incarnation = processes_[index]->info.id.incarnation,
             task = std::move(task)]() mutable {
@@ -213,12 +215,13 @@
            });
 }
 
-void World::RunFor(Duration duration) {
+void Simulation::RunFor(Duration duration) {
   const TimePoint end = clock_.Now() + duration;
   RunUntil([this, end] { return clock_.Now() >= end; }, duration);
 }
 
-bool World::RunUntil(const std::function<bool()>& condition, Duration timeout) {
+bool Simulation::RunUntil(const std::function<bool()>& condition,
+                          Duration timeout) {
   const TimePoint end = clock_.Now() + timeout;
   while (!condition()) {
     if (clock_.Now() >= end) {
@@ -243,7 +246,7 @@
   return true;
 }
 
-void World::TickAll() {
+void Simulation::TickAll() {
   for (const auto& engine : engines_) {
     engine->Advance(clock_.Now());
   }
@@ -269,7 +272,7 @@
   }
 }
 
-void World::CheckVersions(size_t index) {
+void Simulation::CheckVersions(size_t index) {
   Process& process = *processes_[index];
   const uint64_t version = process.entry->config().version();
   if (version < process.version) {
@@ -279,7 +282,7 @@
   process.version = version;
 }
 
-EventLog World::LogOf(size_t index) {
+EventLog Simulation::LogOf(size_t index) {
   if (!options_.log) {
     return {};
   }
@@ -290,7 +293,7 @@
   });
 }
 
-void World::Restart(size_t index) {
+void Simulation::Restart(size_t index) {
   Process& process = *processes_[index];
   process.info.id.incarnation = ++last_incarnation_;
   process.info.address =
@@ -321,7 +324,7 @@
   ExecuteActions(index);
 }
 
-void World::Kill(size_t index, bool silently) {
+void Simulation::Kill(size_t index, bool silently) {
   Process& process = *processes_[index];
   if (!process.alive) {
     return;
@@ -347,13 +350,13 @@
   }
 }
 
-void World::Freeze(size_t index, Duration duration) {
+void Simulation::Freeze(size_t index, Duration duration) {
   Process& process = *processes_[index];
   process.frozen_until =
       std::max(process.frozen_until, clock_.Now() + duration);
 }
 
-void World::Leave(size_t index) {
+void Simulation::Leave(size_t index) {
   Process& process = *processes_[index];
   if (!process.alive || process.left) {
     return;
@@ -370,7 +373,7 @@
   });
 }
 
-void World::StallLinks(size_t a, size_t b) {
+void Simulation::StallLinks(size_t a, size_t b) {
   for (auto& [id, link] : links_) {
     const bool joins = (link->ends[0] == a && link->ends[1] == b) ||
                        (link->ends[0] == b && link->ends[1] == a);
@@ -378,18 +381,18 @@
   }
 }
 
-void World::Partition(size_t a, size_t b) {
+void Simulation::Partition(size_t a, size_t b) {
   partitions_.insert(std::minmax(a, b));
   StallLinks(a, b);
 }
 
-void World::Heal() {
+void Simulation::Heal() {
   partitions_.clear();
   platform_.set_mode(fakes::PlatformCore::Mode::kUp);
   platform_delay_ = std::chrono::milliseconds(5);
 }
 
-void World::ExecuteActions(size_t index) {
+void Simulation::ExecuteActions(size_t index) {
   Process& process = *processes_[index];
   for (auto actions = process.outbox().Take(); !actions.empty();
        actions = process.outbox().Take()) {
@@ -405,7 +408,7 @@
         Execute(index, *call,
                 clock_.Now() +
                     std::chrono::milliseconds(call->wait_ms.value_or(0)));
-      } else if (const auto* whole = std::get_if<ReplyWhole>(&action)) {
+      } else if (const auto* whole = std::get_if<ReplyComplete>(&action)) {
         caller_at_.erase(whole->caller);
         if (operator_replies_.contains(whole->caller)) {
           operator_replies_[whole->caller] = whole->status;
@@ -414,7 +417,7 @@
         }
       } else if (const auto* head = std::get_if<ReplyHead>(&action)) {
         oracle_.OnReply(*head);
-      } else if (const auto* data = std::get_if<ReplyData>(&action)) {
+      } else if (const auto* data = std::get_if<ReplyChunk>(&action)) {
         oracle_.OnReply(*data);
         ScheduleIn(index, clock_.Now() + Delay(),
                    [this, index, id = data->caller] {
@@ -433,7 +436,7 @@
   }
 }
 
-void World::Execute(size_t index, SendMessage& send) {
+void Simulation::Execute(size_t index, SendMessage& send) {
   const auto found = links_.find(send.link);
   if (found == links_.end()) {
     return;
@@ -471,7 +474,7 @@
              });
 }
 
-void World::CloseLinkFrom(size_t index, LinkId id) {
+void Simulation::CloseLinkFrom(size_t index, LinkId id) {
   const auto found = links_.find(id);
   if (found == links_.end()) {
     return;
@@ -501,7 +504,7 @@
   });
 }
 
-void World::Execute(size_t index, const Dial& dial) {
+void Simulation::Execute(size_t index, const Dial& dial) {
   size_t target = processes_.size();
   for (size_t i = 0; i < processes_.size(); ++i) {
     if (processes_[i]->alive && processes_[i]->info.address == dial.address) {
@@ -526,14 +529,14 @@
   LinkUp(index, target, dial.address);
 }
 
-InstanceInfo World::HandshakeInfo(size_t index) const {
+InstanceInfo Simulation::HandshakeInfo(size_t index) const {
   const Process& process = *processes_[index];
   InstanceInfo info = process.info;
   info.no_claims = process.entry && process.entry->members().self().no_claims;
   return info;
 }
 
-void World::LinkUp(size_t from, size_t to, const std::string& address) {
+void Simulation::LinkUp(size_t from, size_t to, const std::string& address) {
   const LinkId id = ++last_link_;
   auto link = std::make_unique<PeerLink>();
   link->ends[0] = from;
@@ -560,9 +563,9 @@
   });
 }
 
-void World::Execute(size_t index,
-                    const PlatformCall& call,
-                    TimePoint watch_until) {
+void Simulation::Execute(size_t index,
+                         const PlatformCall& call,
+                         TimePoint watch_until) {
   const Duration delay = platform_delay_ + Delay();
   const uint64_t incarnation = processes_[index]->info.id.incarnation;
   Schedule(clock_.Now() + delay, [this, index, call, watch_until, delay,
@@ -589,9 +592,9 @@
   });
 }
 
-void World::ReplyToPlatformCall(size_t index,
-                                PlatformCallId call,
-                                const PlatformReply& reply) {
+void Simulation::ReplyToPlatformCall(size_t index,
+                                     PlatformCallId call,
+                                     const PlatformReply& reply) {
   Process& process = *processes_[index];
   if (process.entry) {
     process.entry->OnPlatformReply(call, reply);
@@ -600,7 +603,7 @@
   }
 }
 
-void World::ExecuteServerAction(size_t index, const Action& action) {
+void Simulation::ExecuteServerAction(size_t index, const Action& action) {
   Process& process = *processes_[index];
   fakes::EngineCore& engine = *engines_[index - options_.entries];
   const bool down = clock_.Now() < engine_up_at_[index - options_.entries];
@@ -608,11 +611,11 @@
   const auto* resumed = std::get_if<ServerResume>(&action);
   if (down && (started != nullptr || resumed != nullptr)) {
     ScheduleServerEnd(index, started != nullptr ? started->run : resumed->run,
-                      ServerEnd::kUnreachable);
+                      ServerDisconnect::kUnreachable);
     return;
   }
   if (resumed != nullptr && engine.Find(resumed->request_id) == nullptr) {
-    ScheduleServerEnd(index, resumed->run, ServerEnd::kRefused);
+    ScheduleServerEnd(index, resumed->run, ServerDisconnect::kRefused);
     return;
   }
   if (const auto* start = std::get_if<ServerStart>(&action)) {
@@ -633,7 +636,7 @@
   }
 }
 
-void World::DeliverStreamEvents(size_t index) {
+void Simulation::DeliverStreamEvents(size_t index) {
   Process& process = *processes_[index];
   const fakes::EngineCore& engine = *engines_[index - options_.entries];
   std::vector<RunId> ended;
@@ -659,7 +662,7 @@
   }
 }
 
-void World::BreakServerStreams(size_t agent, bool silently) {
+void Simulation::BreakServerStreams(size_t agent, bool silently) {
   const size_t index = options_.entries + agent;
   Process& process = *processes_[index];
   if (!process.alive) {
@@ -669,18 +672,18 @@
     stream.stalled = true;
     if (!silently) {
       ScheduleIn(index, clock_.Now(), [this, index, id = run] {
-        processes_[index]->agent->gate().server().OnServerEnd(
-            id, ServerEnd::kBroken);
+        processes_[index]->agent->gate().server().OnServerDisconnect(
+            id, ServerDisconnect::kBroken);
       });
     }
   }
 }
 
-std::string World::NewKey() {
+std::string Simulation::NewKey() {
   return RequestKey::Mint(clock_.WallNow(), random_).ToString();
 }
 
-CallerRequest World::MakeRequest(const std::string& key) const {
+CallerRequest Simulation::MakeRequest(const std::string& key) const {
   CallerRequest request;
   request.method = "POST";
   request.path = "/v1/completions";
@@ -689,12 +692,12 @@
   return request;
 }
 
-CallerId World::Submit(size_t index,
-                       const std::string& key,
-                       const std::string& word,
-                       bool repeatable,
-                       uint32_t tokens,
-                       std::optional<int64_t> deadline_ms) {
+CallerId Simulation::Submit(size_t index,
+                            const std::string& key,
+                            const std::string& word,
+                            bool repeatable,
+                            uint32_t tokens,
+                            std::optional<int64_t> deadline_ms) {
   const CallerId caller = ++last_caller_;
   if (!alive(index)) {
     return caller;
@@ -718,9 +721,9 @@
   return caller;
 }
 
-CallerId World::Read(size_t index,
-                     const std::string& key,
-                     const std::string& word) {
+CallerId Simulation::Read(size_t index,
+                          const std::string& key,
+                          const std::string& word) {
   const CallerId caller = ++last_caller_;
   if (!alive(index)) {
     return caller;
@@ -737,7 +740,7 @@
   return caller;
 }
 
-void World::Delete(size_t index, const std::string& key) {
+void Simulation::Delete(size_t index, const std::string& key) {
   if (!alive(index)) {
     return;
   }
@@ -747,7 +750,7 @@
   SendOperator(index, request);
 }
 
-CallerId World::SendOperator(size_t index, CallerRequest request) {
+CallerId Simulation::SendOperator(size_t index, CallerRequest request) {
   const CallerId caller = ++last_caller_;
   request.caller = caller;
   if (!alive(index)) {
@@ -760,7 +763,7 @@
   return caller;
 }
 
-CallerId World::Apply(size_t index, const std::string& marker) {
+CallerId Simulation::Apply(size_t index, const std::string& marker) {
   CallerRequest request;
   request.method = "POST";
   request.path = "/admin/v1/config";
@@ -769,7 +772,7 @@
   return SendOperator(index, request);
 }
 
-CallerId World::UsePreset(size_t index, const std::string& preset) {
+CallerId Simulation::UsePreset(size_t index, const std::string& preset) {
   CallerRequest request;
   request.method = "POST";
   request.path = "/admin/v1/preset";
--- a/test/fuzz/world.h
+++ b/test/fuzz/world.h
@@ -22,7 +22,7 @@
 /// Simulation of entries, agents with one engine each, and a platform, under a
 /// virtual clock. Runs the components of the daemons and injects message
 /// delays, stalled links, crashes and freezes.
-class World {
+class Simulation {
  public:
   struct Options {
     size_t entries = 3;
@@ -36,8 +36,8 @@
     std::function<void(const std::string& line)> log;
   };
 
-  explicit World(Options options);
-  ~World();
+  explicit Simulation(Options options);
+  ~Simulation();
 
   // Actions and faults.
   void RunFor(Duration duration);
@@ -75,7 +75,7 @@
   void BreakServerStreams(size_t agent, bool silently);
   /// Makes engines crash soon after they start a prompt that begins with this
   /// word.
-  void SetDeadly(const std::string& word) { crashing_words_.insert(word); }
+  void SetCrashing(const std::string& word) { crashing_words_.insert(word); }
   /// Crashes the engine, which loses its streams and restarts after `down`.
   void CrashEngine(size_t agent, Duration down);
   /// Times of the engines' crashes, in ascending order.
@@ -129,7 +129,7 @@
                            const PlatformReply& reply);
   void CheckVersions(size_t process);
   void MakeEngine(size_t agent);
-  void ScheduleServerEnd(size_t process, RunId run, ServerEnd end);
+  void ScheduleServerEnd(size_t process, RunId run, ServerDisconnect end);
   Duration Delay();
   CallerRequest MakeRequest(const std::string& key) const;
   CallerId SendOperator(size_t entry, CallerRequest request);
--- a/test/gate/reservation_queue_test.cc
+++ b/test/gate/reservation_queue_test.cc
@@ -29,7 +29,7 @@
   while (const Reservation* next = queue.Next(TimePoint(), kAnyTier)) {
     RC_ASSERT(next->tier >= last);
     last = next->tier;
-    queue.Take(next->id());
+    queue.Dequeue(next->id());
   }
   RC_ASSERT(queue.size() == 0U);
 }
@@ -44,7 +44,7 @@
   queue.Add(late);
   queue.Add(soon);
   BOOST_TEST(queue.Next(TimePoint(), kAnyTier)->key.lo == 2U);
-  queue.Take(soon.id());
+  queue.Dequeue(soon.id());
   BOOST_TEST(queue.Next(TimePoint(), kAnyTier)->key.lo == 1U);
   // Aging: a reservation that has waited for 30 s precedes those with a
   // deadline.
@@ -64,7 +64,7 @@
   for (int i = 0; i < 40; ++i) {
     const Reservation* next = queue.Next(TimePoint(), kAnyTier);
     large_taken += next->team == "large";
-    queue.Take(next->id());
+    queue.Dequeue(next->id());
   }
   BOOST_TEST(large_taken == 30);
 }
--- a/test/io/http_server_test.cc
+++ b/test/io/http_server_test.cc
@@ -116,7 +116,7 @@
     on_request = [this, &then](CallerId id) {
       server_.Handle(ReplyHead{.caller = id, .status = 200});
       server_.Handle(
-          ReplyData{.caller = id, .bytes = std::string(kLargeBytes, 'x')});
+          ReplyChunk{.caller = id, .bytes = std::string(kLargeBytes, 'x')});
       then(id);
     };
     to.Send(kGet);
@@ -153,7 +153,7 @@
   ServerHarness harness;
   harness.on_request = [&](CallerId caller) {
     harness.server().Handle(ReplyHead{.caller = caller, .status = 200});
-    harness.server().Handle(ReplyData{.caller = caller, .bytes = "piece"});
+    harness.server().Handle(ReplyChunk{.caller = caller, .bytes = "piece"});
     harness.server().Handle(ReplyAbort{.caller = caller});
   };
   RawCaller caller(harness.loop(), harness.address());
@@ -211,7 +211,7 @@
   ServerHarness harness;
   harness.on_request = [&](CallerId id) {
     harness.server().Handle(ReplyHead{.caller = id, .status = 200});
-    harness.server().Handle(ReplyData{.caller = id, .bytes = "piece"});
+    harness.server().Handle(ReplyChunk{.caller = id, .bytes = "piece"});
     harness.server().Handle(ReplyEnd{.caller = id});
   };
   RawCaller caller(harness.loop(), harness.address());
--- a/test/platform/header_codec_test.cc
+++ b/test/platform/header_codec_test.cc
@@ -31,12 +31,13 @@
 BOOST_AUTO_TEST_CASE(RequestMetadataIsDecoded) {
   const auto metadata = hybrid::MakeHeaderCodec().read_request(ClientHead());
   BOOST_REQUIRE(metadata.has_value());
-  BOOST_TEST((*metadata == RequestTerms{.request_id = "9c41",
-                                        .api_key = "secret",
-                                        .time_left = std::chrono::seconds(10),
-                                        .prompt_tokens = 1460,
-                                        .output_tokens = 80,
-                                        .last_event_id = "12"}));
+  BOOST_TEST(
+      (*metadata == RequestMetadata{.request_id = "9c41",
+                                    .api_key = "secret",
+                                    .time_left = std::chrono::seconds(10),
+                                    .prompt_tokens = 1460,
+                                    .output_tokens = 80,
+                                    .last_event_id = "12"}));
 }
 
 BOOST_AUTO_TEST_CASE(UnreadableFieldsAreRejected) {
@@ -77,10 +78,10 @@
   BOOST_TEST((codec.read_answer({.status = 200,
                                  .fields = {{"request-id", "9c41"},
                                             {"Response-Seal", "3e"}}}) ==
-              AnswerTerms{.request_id = "9c41", .sealed = true}));
+              AnswerMetadata{.request_id = "9c41", .sealed = true}));
   BOOST_TEST(
       (codec.read_answer({.status = 503, .fields = {{"Not-Executed", "1"}}}) ==
-       AnswerTerms{.not_run = true}));
+       AnswerMetadata{.not_run = true}));
 }
 
 }  // namespace lavenderkeel
--- a/test/platform/object_decoder_test.cc
+++ b/test/platform/object_decoder_test.cc
@@ -33,7 +33,7 @@
   const auto server = Decode(ValidEntry());
   BOOST_REQUIRE(static_cast<bool>(server));
   BOOST_TEST((*server.value == BackendServer{.id = "i-1",
-                                             .born = 1'770'000'000'123,
+                                             .start_time_ms = 1'770'000'000'123,
                                              .service = "models",
                                              .address = "10.1.0.4:80",
                                              .data_centre = "a",
--- a/test/rollout/rollout_simulation.cc
+++ b/test/rollout/rollout_simulation.cc
@@ -147,7 +147,7 @@
     }
     ++all;
     const auto& clients =
-        const_cast<fakes::FleetWorld&>(fleet_).port(request.entry).clients;
+        const_cast<fakes::FleetSimulation&>(fleet_).port(request.entry).clients;
     const auto found = clients.find(request.exchange);
     served += found != clients.end() && found->second.status == kOk ? 1 : 0;
   }
--- a/test/rollout/rollout_simulation.h
+++ b/test/rollout/rollout_simulation.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-#include "test/fakes/fleet_world.h"
+#include "test/fakes/fleet_simulation.h"
 #include "test/rollout/simulated_versions.h"
 
 namespace lavenderkeel {
@@ -51,7 +51,7 @@
   /// Fraction of the requests that were answered with status 200.
   double Served() const;
 
-  fakes::FleetWorld& fleet() { return fleet_; }
+  fakes::FleetSimulation& fleet() { return fleet_; }
   SimulatedVersions& versions() { return versions_; }
 
  private:
@@ -66,7 +66,7 @@
   void ApplyState();
 
   Options options_;
-  fakes::FleetWorld fleet_;
+  fakes::FleetSimulation fleet_;
   SimulatedVersions versions_;
   std::mt19937_64 random_;
   std::vector<SentRequest> sent_requests_;
--- a/test/rollout/simulated_versions.cc
+++ b/test/rollout/simulated_versions.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-SimulatedVersions::SimulatedVersions(fakes::FleetWorld& fleet,
+SimulatedVersions::SimulatedVersions(fakes::FleetSimulation& fleet,
                                      const Options& options)
     : fleet_(fleet), options_(options), random_(options.seed) {}
 
@@ -166,7 +166,7 @@
       .framing = BodyFraming::kLength};
   fleet_.In(run.entry, [&](ForwardNode& node) {
     node.controller().OnAnswerHead(run.attempt.attempt, head, /*fresh=*/true);
-    node.controller().OnAnswerPart(run.attempt.attempt, "answer");
+    node.controller().OnAnswerChunk(run.attempt.attempt, "answer");
     node.controller().OnAnswerEnd(run.attempt.attempt);
   });
 }
@@ -186,14 +186,14 @@
                      {"Content-Type", "text/event-stream"}},
           .framing = BodyFraming::kChunked};
       controller.OnAnswerHead(attempt, head, /*fresh=*/true);
-      controller.OnAnswerPart(attempt, "id: 1\ndata: x\n\n");
+      controller.OnAnswerChunk(attempt, "id: 1\ndata: x\n\n");
     }
     if (last) {
       std::string events;
       for (int id = 2; id <= kEvents; ++id) {
         events += "id: " + std::to_string(id) + "\ndata: x\n\n";
       }
-      controller.OnAnswerPart(attempt, events);
+      controller.OnAnswerChunk(attempt, events);
       controller.OnAnswerEnd(attempt);
     }
   });
--- a/test/rollout/simulated_versions.h
+++ b/test/rollout/simulated_versions.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "test/fakes/fleet_world.h"
+#include "test/fakes/fleet_simulation.h"
 
 namespace lavenderkeel {
 
@@ -29,7 +29,7 @@
 };
 
 /// Simulated backend servers of two versions behind the entries of a
-/// FleetWorld.
+/// FleetSimulation.
 class SimulatedVersions {
  public:
   struct Options {
@@ -49,7 +49,7 @@
     std::string request;
   };
 
-  SimulatedVersions(fakes::FleetWorld& fleet, const Options& options);
+  SimulatedVersions(fakes::FleetSimulation& fleet, const Options& options);
 
   /// Lists Options::servers servers of the version.
   void AddVersion(const std::string& version);
@@ -123,7 +123,7 @@
     return std::uniform_real_distribution<>(0, 1)(random_) < share;
   }
 
-  fakes::FleetWorld& fleet_;
+  fakes::FleetSimulation& fleet_;
   Options options_;
   std::mt19937_64 random_;
   std::vector<Server> servers_;
--- a/test/rollout/rollout_guide_test.cc
+++ b/test/rollout/version_selector_test.cc
@@ -1,4 +1,4 @@
-#include "lavenderkeel/rollout/rollout_guide.h"
+#include "lavenderkeel/rollout/version_selector.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -27,25 +27,25 @@
   void SetPlan(RolloutPhase phase,
                double share = 0.05,
                const std::string& from = "v1") {
-    guide.OnPlans({{.order = 9,
-                    .service = "plain",
-                    .to = "v2",
-                    .from = from,
-                    .phase = phase,
-                    .share = share}});
+    selector.OnPlans({{.order = 9,
+                       .service = "plain",
+                       .to = "v2",
+                       .from = from,
+                       .phase = phase,
+                       .share = share}});
   }
 
   /// Sends this many requests and returns how many preferred the canary.
   int CountCanary(int requests) {
     int chosen = 0;
     for (int i = 0; i < requests; ++i) {
-      const RolloutGuide::Choice choice =
-          guide.Choose("plain", "route", /*fresh=*/true);
+      const VersionSelector::Choice choice =
+          selector.Choose("plain", "route", /*fresh=*/true);
       const bool canary = !choice.canary.empty();
       chosen += canary ? 1 : 0;
-      RolloutGuide::Attempt attempt = guide.OnSent(
+      VersionSelector::Attempt attempt = selector.OnSent(
           "plain", "route", *directory.Find(canary ? "v2" : "v1"), 0, true);
-      guide.OnOver("plain", attempt);
+      selector.OnAttemptEnd("plain", attempt);
     }
     return chosen;
   }
@@ -53,10 +53,11 @@
   fuzz::VirtualClock clock;
   EventLog log;
   ServerDirectory directory;
-  RolloutGuide guide{{.bounds = {.enabled = true, .share = 0.1, .slack = 50}},
-                     directory,
-                     clock,
-                     log};
+  VersionSelector selector{
+      {.bounds = {.enabled = true, .share = 0.1, .slack = 50}},
+      directory,
+      clock,
+      log};
 };
 
 }  // namespace
@@ -65,9 +66,9 @@
 // out.
 BOOST_AUTO_TEST_CASE(NothingIsSentBeforeTheOrdersAreKnown) {
   Harness harness;
-  BOOST_TEST(!harness.guide.known());
-  harness.guide.OnPlans({});
-  BOOST_TEST(harness.guide.known());
+  BOOST_TEST(!harness.selector.known());
+  harness.selector.OnPlans({});
+  BOOST_TEST(harness.selector.known());
 }
 
 // Guards against a canary that uses more than its fraction of the exposure
@@ -85,11 +86,11 @@
 BOOST_AUTO_TEST_CASE(ExpiredPlanDoesNotAdmitTheNewVersion) {
   Harness harness;
   harness.SetPlan(RolloutPhase::kShift);
-  BOOST_TEST(harness.guide.Admits("plain", "v2"));
+  BOOST_TEST(harness.selector.Admits("plain", "v2"));
   harness.clock.Advance(seconds(2));
-  BOOST_TEST(!harness.guide.Admits("plain", "v2"));
-  BOOST_TEST((harness.guide.Choose("plain", "route", true) ==
-              RolloutGuide::Choice{.version = "v1"}));
+  BOOST_TEST(!harness.selector.Admits("plain", "v2"));
+  BOOST_TEST((harness.selector.Choose("plain", "route", true) ==
+              VersionSelector::Choice{.version = "v1"}));
 }
 
 // Guards against a slot granted before the rollback that is used after it.
@@ -97,10 +98,10 @@
   Harness harness;
   harness.SetPlan(RolloutPhase::kShift);
   harness.SetPlan(RolloutPhase::kRolledBack);
-  BOOST_TEST(!harness.guide.Admits("plain", "v2"));
+  BOOST_TEST(!harness.selector.Admits("plain", "v2"));
   // A plan of another deciding entry that has seen fewer failures.
   harness.SetPlan(RolloutPhase::kCanary);
-  BOOST_TEST(!harness.guide.Admits("plain", "v2"));
+  BOOST_TEST(!harness.selector.Admits("plain", "v2"));
   BOOST_TEST(harness.CountCanary(100) == 0);
 }
 
@@ -110,8 +111,8 @@
   Harness harness;
   harness.SetPlan(RolloutPhase::kRamp, 1.0);
   for (int i = 0; i < 100; ++i) {
-    BOOST_TEST(
-        harness.guide.Choose("plain", "route", /*fresh=*/false).canary.empty());
+    BOOST_TEST(harness.selector.Choose("plain", "route", /*fresh=*/false)
+                   .canary.empty());
   }
 }
 
@@ -126,10 +127,10 @@
       harness.SetPlan(phase, /*share=*/0.3, from);
       for (const Duration elapsed : {Duration(), Duration(seconds(2))}) {
         harness.clock.Advance(elapsed);
-        const RolloutGuide::Choice choice =
-            harness.guide.Choose("plain", "route", /*fresh=*/true);
+        const VersionSelector::Choice choice =
+            harness.selector.Choose("plain", "route", /*fresh=*/true);
         BOOST_TEST(!choice.version.empty());
-        BOOST_TEST(harness.guide.Admits("plain", choice.version));
+        BOOST_TEST(harness.selector.Admits("plain", choice.version));
       }
     }
   }
@@ -140,19 +141,19 @@
 BOOST_AUTO_TEST_CASE(PlanWithoutAnOldVersionDoesNotOpenTheNewOne) {
   Harness harness;
   harness.SetPlan(RolloutPhase::kCanary, /*share=*/0, /*from=*/"");
-  BOOST_TEST(harness.guide.Choose("plain", "route", true).version == "v1");
+  BOOST_TEST(harness.selector.Choose("plain", "route", true).version == "v1");
   harness.SetPlan(RolloutPhase::kRolledBack, /*share=*/0, /*from=*/"");
   harness.directory.Remove("v1", harness.clock.Now());
-  BOOST_TEST(!harness.guide.Admits("plain", "v2"));
+  BOOST_TEST(!harness.selector.Admits("plain", "v2"));
 }
 
 // Guards against requests to old servers that stop after completion.
 BOOST_AUTO_TEST_CASE(OldVersionIsNotUsedAfterCompletion) {
   Harness harness;
   harness.SetPlan(RolloutPhase::kCompleted);
-  BOOST_TEST(!harness.guide.Admits("plain", "v1"));
+  BOOST_TEST(!harness.selector.Admits("plain", "v1"));
   harness.clock.Advance(seconds(5));
-  BOOST_TEST(harness.guide.Admits("plain", "v2"));
+  BOOST_TEST(harness.selector.Admits("plain", "v2"));
 }
 
 }  // namespace lavenderkeel
--- a/test/watch/object_watch_test.cc
+++ b/test/watch/object_watch_test.cc
@@ -46,7 +46,7 @@
                               object.name);
            },
        .on_outage = [this] { events.emplace_back("outage"); },
-       .on_return = [this] { events.emplace_back("recovery"); }},
+       .on_recovery = [this] { events.emplace_back("recovery"); }},
       clock,
       random,
       log};
@@ -163,7 +163,7 @@
   h.Answer(h.Take(), {.outcome = ReadOutcome::kOk, .revision = 10});
   const Harness::Call unresponsive = h.Take();
   h.clock.Advance(std::chrono::seconds(1));
-  h.watch.OnToldBy(12);
+  h.watch.OnPeerRevision(12);
   h.watch.Tick();
   BOOST_TEST(h.calls.empty());
   h.clock.Advance(std::chrono::milliseconds(600));
@@ -186,7 +186,7 @@
   h.Answer(h.Take(), {.outcome = ReadOutcome::kOk, .revision = 10});
   h.Take();
   h.watch.Confirm();
-  h.watch.OnToldBy(10);
+  h.watch.OnPeerRevision(10);
   h.TickLater();
   BOOST_TEST(h.calls.empty());
   h.watch.Confirm();
