--- a/bench/fleet.cc
+++ b/bench/fleet.cc
@@ -2,8 +2,7 @@
 // processor time and memory per daemon, and the time until a preset switch is
 // in force at every entry, also with an outage of the platform right after
 // acceptance.
-// Usage: fleet ENTRIES AGENTS. Prints JSON on standard output and ends by
-// itself.
+// Usage: fleet ENTRIES AGENTS. Prints JSON on standard output and exits.
 #include <unistd.h>
 
 #include <boost/json.hpp>
@@ -31,10 +30,10 @@
              : std::atof(text.c_str() + position + name.size() + 14);
 }
 
-/// Processor time in microseconds, memory and peer traffic in bytes.
+/// Processor time, memory and peer traffic of a process.
 struct Usage {
-  double microseconds = 0;
-  double bytes = 0;
+  double processor_us = 0;
+  double memory_bytes = 0;
   double peer_bytes = 0;
 };
 
@@ -49,7 +48,7 @@
     user = i == 14 ? std::atof(field.c_str()) : user;
     system = i == 15 ? std::atof(field.c_str()) : system;
   }
-  usage.microseconds =
+  usage.processor_us =
       (user + system) * 1e6 / static_cast<double>(sysconf(_SC_CLK_TCK));
   std::ifstream rollup(base + "/statm");
   double pages = 0;
@@ -57,7 +56,7 @@
   double shared = 0;
   rollup >> pages >> resident >> shared;
   // Private memory, without the shared program text.
-  usage.bytes =
+  usage.memory_bytes =
       (resident - shared) * static_cast<double>(sysconf(_SC_PAGESIZE));
   return usage;
 }
@@ -65,7 +64,7 @@
 Usage EntryUsage(Cluster& cluster, size_t entry) {
   Usage usage = UsageOf(cluster, "entry-" + std::to_string(entry));
   const std::string metrics =
-      cluster.Call(cluster.Entry(entry), "GET", "/metrics").body;
+      cluster.Call(cluster.EntryAddress(entry), "GET", "/metrics").body;
   usage.peer_bytes = MetricOf(metrics, "peer_bytes_sent") +
                      MetricOf(metrics, "peer_bytes_received");
   return usage;
@@ -76,7 +75,8 @@
   cluster.Wait([end] { return SystemClock().Now() >= end; });
 }
 
-/// Returns the milliseconds until every entry has the new version.
+/// Returns the milliseconds from the request to switch the preset until every
+/// entry has the new configuration version.
 double SwitchTime(Cluster& cluster,
                   size_t entries,
                   const std::string& preset,
@@ -86,7 +86,7 @@
   cluster.Admin(0, "POST", "/admin/v1/preset",
                 R"({"name": ")" + preset + "\"}");
   if (outage) {
-    cluster.Call(cluster.Platform(), "POST", "/fault/outage");
+    cluster.Call(cluster.PlatformAddress(), "POST", "/fault/outage");
   }
   for (size_t i = 0; i < entries; ++i) {
     cluster.Wait([&] { return cluster.VersionAt(i) > before; });
@@ -107,21 +107,21 @@
   Usage sum;
   for (size_t i = 0; i < entries; ++i) {
     const Usage after = EntryUsage(cluster, i);
-    sum.microseconds += after.microseconds - before[i].microseconds;
+    sum.processor_us += after.processor_us - before[i].processor_us;
     sum.peer_bytes += after.peer_bytes - before[i].peer_bytes;
-    sum.bytes += after.bytes;
+    sum.memory_bytes += after.memory_bytes;
   }
   const Usage agent = UsageOf(cluster, "agent-0");
   const auto count = static_cast<double>(entries);
   json::object result{
       {"entries", entries},
       {"agents", agents},
-      {"entry_core_share", sum.microseconds / count / seconds / 1e6},
-      {"entry_memory_bytes", sum.bytes / count},
+      {"entry_core_share", sum.processor_us / count / seconds / 1e6},
+      {"entry_memory_bytes", sum.memory_bytes / count},
       {"entry_peer_bytes_per_s", sum.peer_bytes / count / seconds},
       {"agent_core_share",
-       (agent.microseconds - agent_before.microseconds) / seconds / 1e6},
-      {"agent_memory_bytes", agent.bytes}};
+       (agent.processor_us - agent_before.processor_us) / seconds / 1e6},
+      {"agent_memory_bytes", agent.memory_bytes}};
   result["switch_ms"] = SwitchTime(cluster, entries, "peak", false);
   result["switch_then_outage_ms"] =
       SwitchTime(cluster, entries, "ordinary", true);
--- a/bench/path_bench.cc
+++ b/bench/path_bench.cc
@@ -1,6 +1,6 @@
 // Measures in one run the latency to the first token through an entry and an
-// agent, compared with calling the engine stand-in directly, and the requests
-// per second through one entry and one agent. Real processes on loopback.
+// agent, compared with calling the fake engine directly, and the requests per
+// second through one entry and one agent. Real processes on loopback.
 // Prints JSON on standard output.
 #include <algorithm>
 #include <boost/json.hpp>
@@ -26,9 +26,9 @@
 }
 
 /// Returns the time to the first bytes of a stream.
-Duration FirstToken(Cluster& cluster, bool direct, int number) {
-  // Starts at a random moment of the stand-in's steps; otherwise the two could
-  // lock into a fixed phase.
+Duration FirstTokenTime(Cluster& cluster, bool direct, int number) {
+  // Sends the request at a random phase of the fake engine's steps; otherwise
+  // requests and steps could stay in a fixed phase.
   static std::mt19937_64 random(1);
   const TimePoint start =
       SystemClock().Now() + Duration(static_cast<int64_t>(random() % 7000));
@@ -37,7 +37,7 @@
   Duration first{};
   const TimePoint begin = SystemClock().Now();
   HttpClient::Call call{
-      .address = direct ? cluster.Engine(0) : cluster.Entry(0),
+      .address = direct ? cluster.EngineAddress(0) : cluster.EntryAddress(0),
       .method = "POST",
       .path = "/v1/completions",
       .headers = {{"Authorization", "Bearer board-key"},
@@ -72,7 +72,7 @@
     done += static_cast<int>(
         std::erase_if(open, [](const auto& e) { return e->done; }));
     while (sent < kRequests && open.size() < kMaxInFlight) {
-      open.push_back(cluster.Ask(0, "", "check", 1));
+      open.push_back(cluster.SubmitRequest(0, "", "check", 1));
       ++sent;
     }
     return done >= kRequests;
@@ -90,8 +90,8 @@
   std::vector<Duration> path;
   for (int i = 0; i < kSamples; ++i) {
     // Alternates, so that both measurements see the same state of the machine.
-    direct.push_back(FirstToken(cluster, true, i));
-    path.push_back(FirstToken(cluster, false, i));
+    direct.push_back(FirstTokenTime(cluster, true, i));
+    path.push_back(FirstTokenTime(cluster, false, i));
   }
   return {{"samples", kSamples},
           {"straight", Percentiles(direct)},
--- a/bench/slope.h
+++ b/bench/slope.h
@@ -8,7 +8,7 @@
 namespace lavenderkeel::bench {
 
 /// A quantity measured at several sizes, and the line fitted to it.
-struct Slope {
+struct FittedLine {
   std::string name;
   /// Units of the sizes and of the values.
   std::string per;
@@ -23,7 +23,7 @@
 };
 
 /// Fits the line by least squares.
-inline void Fit(Slope& line) {
+inline void Fit(FittedLine& line) {
   const auto count = static_cast<double>(line.sizes.size());
   double sum_x = 0;
   double sum_y = 0;
--- a/bench/slopes.cc
+++ b/bench/slopes.cc
@@ -14,8 +14,8 @@
 #include "lavenderkeel/dispatch.h"
 #include "lavenderkeel/gate.h"
 #include "lavenderkeel/wire.h"
+#include "test/fuzz/simulation.h"
 #include "test/fuzz/virtual_clock.h"
-#include "test/fuzz/world.h"
 
 namespace lavenderkeel::bench {
 
@@ -39,12 +39,13 @@
 
 using Measure = std::function<double(size_t size)>;
 
-Slope MeasureLine(const std::string& name,
-                  const std::string& per,
-                  const std::string& unit,
-                  const std::vector<size_t>& sizes,
-                  const Measure& measure) {
-  Slope line{.name = name, .per = per, .unit = unit, .sizes = {}, .values = {}};
+FittedLine MeasureLine(const std::string& name,
+                       const std::string& per,
+                       const std::string& unit,
+                       const std::vector<size_t>& sizes,
+                       const Measure& measure) {
+  FittedLine line{
+      .name = name, .per = per, .unit = unit, .sizes = {}, .values = {}};
   for (const size_t size : sizes) {
     line.sizes.push_back(static_cast<double>(size));
     line.values.push_back(measure(size));
@@ -139,7 +140,7 @@
   return ToJson(document);
 }
 
-/// Store with a configuration of the given number of teams in force.
+/// A configuration store with a document of the given number of teams in force.
 struct LoadedStore {
   EventLog log;
   ConfigStore store{log};
@@ -228,7 +229,7 @@
   return reserve;
 }
 
-/// Agent with a link to one entry.
+/// An agent with a link to one entry.
 struct SingleAgent {
   VirtualClock clock;
   EventLog log;
@@ -286,8 +287,9 @@
 
 enum class FleetQuantity { kBytes, kMessages, kTime, kCalls };
 
-/// Returns a quantity of an idle fleet over a minute of virtual time, per
-/// second and entry, or for the whole platform.
+/// Returns a quantity of an idle fleet, per second over a minute of virtual
+/// time: the bytes or messages sent by the first entry, the platform calls of
+/// all processes, or the mean processor time of a process.
 double MeasureIdleFleet(size_t entries, size_t agents, FleetQuantity quantity) {
   Simulation simulation({.entries = entries, .agents = agents});
   constexpr double kSeconds = 60;
@@ -341,7 +343,7 @@
     simulation.RunFor(std::chrono::milliseconds(20));
     return HeapBytes() - heap;
   }
-  simulation.RunUntil([&] { return simulation.oracle().open() == 0; },
+  simulation.RunUntil([&] { return simulation.oracle().open_callers() == 0; },
                       std::chrono::hours(1));
   switch (quantity) {
     case RequestQuantity::kEntryBytes:
@@ -358,7 +360,9 @@
   }
 }
 
-double CallsPerStart(size_t starts, bool entry) {
+/// Returns the platform calls that `starts` restarts of an entry or an agent
+/// add.
+double RestartCalls(size_t starts, bool entry) {
   Simulation simulation({.entries = 3, .agents = 2});
   const size_t process = entry ? 2 : 3;
   const auto calls_of = [&](size_t count) {
@@ -376,7 +380,7 @@
   return calls_of(starts) - calls_without_starts;
 }
 
-json::object ToJson(const Slope& line) {
+json::object ToJson(const FittedLine& line) {
   return {{"name", line.name},
           {"per", line.per},
           {"unit", line.unit},
@@ -387,43 +391,46 @@
           {"residual", line.residual}};
 }
 
-std::vector<Slope> MeasureAll() {
-  const std::vector<size_t> many = {5'000, 10'000, 20'000, 40'000};
+std::vector<FittedLine> MeasureAll() {
+  const std::vector<size_t> counts = {5'000, 10'000, 20'000, 40'000};
   const std::vector<size_t> teams = {1'250, 2'500, 5'000, 10'000};
-  const std::vector<size_t> few = {2, 4, 8, 16};
+  const std::vector<size_t> fleet_sizes = {2, 4, 8, 16};
   const std::vector<size_t> requests = {50, 100, 200, 400};
   const std::vector<size_t> starts = {1, 2, 4, 8};
-  std::vector<Slope> lines;
-  const auto add = [&lines](Slope line) { lines.push_back(std::move(line)); };
-  add(MeasureLine("claim_memory", "claim", "B", many, ClaimBytes));
-  add(MeasureLine("claim_time", "claim", "us", many, ClaimTime));
+  std::vector<FittedLine> lines;
+  const auto add = [&lines](FittedLine line) {
+    lines.push_back(std::move(line));
+  };
+  add(MeasureLine("claim_memory", "claim", "B", counts, ClaimBytes));
+  add(MeasureLine("claim_time", "claim", "us", counts, ClaimTime));
   add(MeasureLine("claim_wire_bytes", "claim", "B", {50, 100, 200, 400},
                   ClaimWireBytes));
   add(MeasureLine("team_memory", "team", "B", teams, TeamBytes));
   add(MeasureLine("team_lookup_time", "team", "us", teams, TeamLookupTime));
   add(MeasureLine("config_change_time", "team", "us", teams, ChangeTime));
   add(MeasureLine("config_change_bytes", "team", "B", teams, ChangeBytes));
-  add(MeasureLine("reservation_memory", "reservation", "B", many,
+  add(MeasureLine("reservation_memory", "reservation", "B", counts,
                   ReservationBytes));
-  add(MeasureLine("reservation_time", "reservation", "us", many,
+  add(MeasureLine("reservation_time", "reservation", "us", counts,
                   ReservationTime));
-  add(MeasureLine("remembered_key_memory", "key", "B", many,
+  add(MeasureLine("remembered_key_memory", "key", "B", counts,
                   RememberedKeyBytes));
-  add(MeasureLine("entry_link_bytes", "entry", "B/s", few, [](size_t n) {
-    return MeasureIdleFleet(n, 1, FleetQuantity::kBytes);
-  }));
-  add(MeasureLine("agent_link_bytes", "agent", "B/s", few, [](size_t n) {
-    return MeasureIdleFleet(1, n, FleetQuantity::kBytes);
-  }));
-  add(MeasureLine("agent_link_messages", "agent", "1/s", few, [](size_t n) {
-    return MeasureIdleFleet(1, n, FleetQuantity::kMessages);
-  }));
-  add(MeasureLine("platform_calls_at_rest", "entry", "1/s", few, [](size_t n) {
-    return MeasureIdleFleet(n, 1, FleetQuantity::kCalls);
-  }));
-  add(MeasureLine("entry_rest_time", "entry", "us/s", few, [](size_t n) {
-    return MeasureIdleFleet(n, 2, FleetQuantity::kTime);
-  }));
+  add(MeasureLine(
+      "entry_link_bytes", "entry", "B/s", fleet_sizes,
+      [](size_t n) { return MeasureIdleFleet(n, 1, FleetQuantity::kBytes); }));
+  add(MeasureLine(
+      "agent_link_bytes", "agent", "B/s", fleet_sizes,
+      [](size_t n) { return MeasureIdleFleet(1, n, FleetQuantity::kBytes); }));
+  add(MeasureLine("agent_link_messages", "agent", "1/s", fleet_sizes,
+                  [](size_t n) {
+                    return MeasureIdleFleet(1, n, FleetQuantity::kMessages);
+                  }));
+  add(MeasureLine(
+      "platform_calls_at_rest", "entry", "1/s", fleet_sizes,
+      [](size_t n) { return MeasureIdleFleet(n, 1, FleetQuantity::kCalls); }));
+  add(MeasureLine(
+      "entry_rest_time", "entry", "us/s", fleet_sizes,
+      [](size_t n) { return MeasureIdleFleet(n, 2, FleetQuantity::kTime); }));
   add(MeasureLine("request_entry_bytes", "request", "B", requests,
                   [](size_t n) {
                     return MeasureRequests(n, RequestQuantity::kEntryBytes);
@@ -442,9 +449,9 @@
     return MeasureRequests(n, RequestQuantity::kMemory);
   }));
   add(MeasureLine("entry_start_calls", "start", "1", starts,
-                  [](size_t n) { return CallsPerStart(n, true); }));
+                  [](size_t n) { return RestartCalls(n, true); }));
   add(MeasureLine("agent_start_calls", "start", "1", starts,
-                  [](size_t n) { return CallsPerStart(n, false); }));
+                  [](size_t n) { return RestartCalls(n, false); }));
   return lines;
 }
 
--- a/test/dispatch/crashing_lookup_test.cc
+++ b/test/dispatch/crashing_lookup_test.cc
@@ -4,7 +4,7 @@
 #include <functional>
 #include <string>
 
-#include "test/fuzz/world.h"
+#include "test/fuzz/simulation.h"
 
 namespace lavenderkeel {
 
@@ -69,7 +69,7 @@
     }
     simulation.RunFor(kStep);
   }
-  simulation.RunUntil([&] { return simulation.oracle().open() == 0; },
+  simulation.RunUntil([&] { return simulation.oracle().open_callers() == 0; },
                       seconds(60));
   counts.answered = simulation.oracle().Count(ResultCode::kAnswered) - before;
   return counts;
@@ -78,7 +78,7 @@
 /// Counts engines that crashed later than kPropagationTime after the third
 /// crash.
 size_t CountLateCrashes(const Simulation& simulation) {
-  const std::vector<TimePoint>& crashes = simulation.engine_ends();
+  const std::vector<TimePoint>& crashes = simulation.engine_crash_times();
   constexpr size_t kThirdCrash = 2;
   return static_cast<size_t>(std::ranges::count_if(crashes, [&](TimePoint at) {
     return crashes.size() > kThirdCrash &&
@@ -87,7 +87,7 @@
 }
 
 void CheckInvariants(Simulation& simulation) {
-  BOOST_TEST(simulation.oracle().open() == 0U);
+  BOOST_TEST(simulation.oracle().open_callers() == 0U);
   for (const std::string& violation : simulation.oracle().violations()) {
     // The oracle identifies requests by their prompt; the crashing ones share
     // one.
@@ -177,7 +177,7 @@
                 }
               }});
   BOOST_TEST(simulation.oracle().Count(ResultCode::kCrashesServers) == 0U);
-  BOOST_TEST(simulation.engine_ends().size() >= 20U);
+  BOOST_TEST(simulation.engine_crash_times().size() >= 20U);
   BOOST_TEST(simulation.oracle().Count(ResultCode::kAnswered) >= submitted);
   CheckInvariants(simulation);
 }
@@ -207,7 +207,7 @@
                       /*repeatable=*/true, 5);
     simulation.RunFor(milliseconds(300));
   }
-  simulation.RunUntil([&] { return simulation.oracle().open() == 0; },
+  simulation.RunUntil([&] { return simulation.oracle().open_callers() == 0; },
                       seconds(10));
   BOOST_TEST(simulation.oracle().Count(ResultCode::kAnswered) == before + 10);
   CheckInvariants(simulation);
--- a/test/dispatch/scenario_test.cc
+++ b/test/dispatch/scenario_test.cc
@@ -4,23 +4,24 @@
 #include <optional>
 #include <vector>
 
-#include "test/fuzz/world.h"
+#include "test/fuzz/simulation.h"
 
 namespace lavenderkeel::fuzz {
 
 namespace {
 
 void CheckInvariants(Simulation& simulation) {
-  BOOST_TEST(simulation.oracle().open() == 0U,
-             simulation.oracle().DescribeOpen());
+  BOOST_TEST(simulation.oracle().open_callers() == 0U,
+             simulation.oracle().DescribeOpenCallers());
   for (const std::string& violation : simulation.oracle().violations()) {
     BOOST_ERROR(violation);
   }
 }
 
 bool RunUntilAllConcluded(Simulation& simulation) {
-  return simulation.RunUntil([&] { return simulation.oracle().open() == 0; },
-                             std::chrono::seconds(60));
+  return simulation.RunUntil(
+      [&] { return simulation.oracle().open_callers() == 0; },
+      std::chrono::seconds(60));
 }
 
 /// Requests with keys chosen by callers, for non-repeatable work.
@@ -265,7 +266,7 @@
   constexpr size_t kKeys = 30;
   Submit(simulation, {.count = kKeys, .entries = {0, 2}});
   simulation.RunFor(std::chrono::seconds(2));
-  BOOST_TEST(simulation.oracle().open() == 0U);
+  BOOST_TEST(simulation.oracle().open_callers() == 0U);
   const size_t answered = simulation.oracle().Count(ResultCode::kAnswered);
   BOOST_TEST(answered > 0U);
   BOOST_TEST(simulation.oracle().Count(ResultCode::kCannotVouch) ==
--- a/test/fakes/engine_core.h
+++ b/test/fakes/engine_core.h
@@ -22,8 +22,7 @@
   struct Options {
     /// Duration of a step with one request in the batch.
     Duration step = std::chrono::milliseconds(4);
-    /// Fraction of the step by which each further request in the batch extends
-    /// it.
+    /// Fraction by which each further request in the batch extends the step.
     double batch_slowdown = 0.05;
     uint32_t prefill_tokens_per_step = 512;
     size_t prefix_blocks = 256;
@@ -32,8 +31,8 @@
   };
 
   struct Stream {
-    /// First word of the prompt. Every text of the stream contains it, so that
-    /// an answer mixed from two requests is detected.
+    /// First word of the prompt. Every text of the stream contains the word, so
+    /// that an answer mixed from two requests is detected.
     std::string word;
     uint32_t prompt_tokens = 0;
     uint32_t cached_tokens = 0;
@@ -64,12 +63,16 @@
   }
   void set_speed(double factor) { speed_ = factor; }
 
+  /// Returns the load report from `report_lag` ago, as JSON.
   std::string Load(TimePoint now) const;
+  /// Returns the cache events after a sequence number, as JSON. Some events are
+  /// lost, and the newest ones are delayed.
   std::string CacheEvents(uint64_t after) const;
-  /// Adds a model unless the fence is older than the last one.
+  /// Adds a model, unless the fence is older than that of an earlier order.
   ///
   /// @return the HTTP status: 202, or 409 if the fence is outdated
   int Order(uint64_t fence, const std::string& model);
+  /// Returns the loaded models and the last fence, as JSON.
   std::string State() const;
 
   /// Called with the prompt of every start.
--- a/test/fakes/fake_backend.cc
+++ b/test/fakes/fake_backend.cc
@@ -1,7 +1,7 @@
 // Fake backend server of a deployment on the users' platform. Streams events
 // below /stream/ and answers all other requests with a single body. Appends the
-// id of each request that it runs to a file, from which a checker learns which
-// requests ran.
+// id of each request that it runs to RUNS_FILE, which the tests compare with
+// the answers of clients.
 #include <cstdlib>
 #include <fstream>
 #include <iostream>
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "lavenderkeel/io.h"
-#include "test/fakes/stand_in.h"
+#include "test/fakes/fake_server.h"
 
 namespace {
 
--- a/test/fakes/fake_engine.cc
+++ b/test/fakes/fake_engine.cc
@@ -1,7 +1,8 @@
 // Fake model engine or plain service. Besides the interface in INTERFACES it
-// accepts POST /fault/speed?factor=F, /fault/silence and /fault/up, and GET
-// /starts. A prompt that begins with "deadly" terminates the process.
-// Arguments: engine|service LISTEN READY_FILE [STEP_MS [checks|ignores]].
+// accepts POST /fault/speed?factor=F, /fault/silence (stalls all streams) and
+// /fault/up, and GET /starts (number of requests started). A prompt that begins
+// with "deadly" terminates the process. Arguments: engine|service LISTEN
+// READY_FILE [STEP_MS [checks|ignores]].
 #include <boost/json.hpp>
 #include <cstdlib>
 #include <iostream>
@@ -11,7 +12,7 @@
 #include "lavenderkeel/io/event_loop.h"
 #include "lavenderkeel/io/http_server.h"
 #include "test/fakes/engine_core.h"
-#include "test/fakes/stand_in.h"
+#include "test/fakes/fake_server.h"
 
 using lavenderkeel::CallerId;
 using lavenderkeel::EventLoop;
--- a/test/fakes/fake_platform.cc
+++ b/test/fakes/fake_platform.cc
@@ -1,13 +1,14 @@
 // Fake of the platform's object API. Besides the interface in INTERFACES it
-// accepts POST /fault/up, /fault/outage, /fault/lose and /fault/slow?ms=N.
+// accepts POST /fault/up, /fault/outage, /fault/lose (loses the answers of
+// writes) and /fault/slow?ms=N, and GET /calls (number of calls handled).
 #include <deque>
 #include <iostream>
 
 #include "lavenderkeel/io/daemon_main.h"
 #include "lavenderkeel/io/event_loop.h"
 #include "lavenderkeel/io/http_server.h"
+#include "test/fakes/fake_server.h"
 #include "test/fakes/platform_core.h"
-#include "test/fakes/stand_in.h"
 
 using lavenderkeel::CallerId;
 using lavenderkeel::EventLoop;
@@ -87,32 +88,32 @@
   }
 
   void SetFault(const HttpRequest& request) {
-    const std::string what = request.path.substr(7);
+    const std::string fault = request.path.substr(7);
     delay_ = {};
-    core_.set_mode(what == "outage" ? PlatformCore::Mode::kOutage
-                   : what == "lose" ? PlatformCore::Mode::kLoseWriteAnswers
-                                    : PlatformCore::Mode::kUp);
-    if (what == "slow") {
+    core_.set_mode(fault == "outage" ? PlatformCore::Mode::kOutage
+                   : fault == "lose" ? PlatformCore::Mode::kLoseWriteAnswers
+                                     : PlatformCore::Mode::kUp);
+    if (fault == "slow") {
       delay_ = std::chrono::milliseconds(std::atoll(request.query.c_str() + 3));
     }
   }
 
   void AnswerDueCalls() {
-    std::deque<PendingCall> left;
+    std::deque<PendingCall> remaining;
     for (PendingCall& pending : pending_calls_) {
       const TimePoint now = clock_.Now();
       if (now < pending.not_before) {
-        left.push_back(pending);
+        remaining.push_back(pending);
         continue;
       }
       const PlatformReply reply = core_.Handle(pending.call);
       if (pending.watch && reply.status == 304 && now < pending.watch_until) {
-        left.push_back(pending);
+        remaining.push_back(pending);
         continue;
       }
       Answer(pending.caller, reply);
     }
-    pending_calls_.swap(left);
+    pending_calls_.swap(remaining);
   }
 
   void Answer(CallerId caller, const PlatformReply& reply) {
--- a/test/fakes/stand_in.h
+++ b/test/fakes/fake_server.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_TEST_FAKES_STAND_IN_H_
-#define LAVENDERKEEL_TEST_FAKES_STAND_IN_H_
+#ifndef LAVENDERKEEL_TEST_FAKES_FAKE_SERVER_H_
+#define LAVENDERKEEL_TEST_FAKES_FAKE_SERVER_H_
 
 #include <csignal>
 #include <string>
@@ -33,4 +33,4 @@
 
 }  // namespace lavenderkeel::fakes
 
-#endif  // LAVENDERKEEL_TEST_FAKES_STAND_IN_H_
+#endif  // LAVENDERKEEL_TEST_FAKES_FAKE_SERVER_H_
--- a/test/fakes/fake_store.cc
+++ b/test/fakes/fake_store.cc
@@ -1,7 +1,7 @@
 // Fake of the users' object store: objects by kind, lists and watches over
-// HTTP. PUT /objects/KIND/NAME sets an object's spec. PUT on its /status sets
-// its status, if the object still has the revision that the call names. DELETE
-// removes it.
+// HTTP. PUT /objects/KIND/NAME sets an object's spec. PUT
+// /objects/KIND/NAME/status sets its status, if the object still has the
+// revision in the request. DELETE /objects/KIND/NAME removes the object.
 #include <boost/json.hpp>
 #include <cstdlib>
 #include <deque>
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "lavenderkeel/io.h"
-#include "test/fakes/stand_in.h"
+#include "test/fakes/fake_server.h"
 
 namespace {
 
@@ -165,7 +165,7 @@
   }
 
   void AnswerWatches() {
-    std::vector<Watch> left;
+    std::vector<Watch> remaining;
     for (const Watch& watch : watches_) {
       json::array events;
       for (const Change& change : changes_) {
@@ -176,12 +176,12 @@
         }
       }
       if (events.empty() && clock_.Now() < watch.until) {
-        left.push_back(watch);
+        remaining.push_back(watch);
         continue;
       }
       Answer(watch.caller, {{"events", events}, {"currentRev", revision_}});
     }
-    watches_.swap(left);
+    watches_.swap(remaining);
   }
 
   void Answer(CallerId caller, const json::object& body, int status = 200) {
--- a/test/fakes/fleet_simulation.cc
+++ b/test/fakes/fleet_simulation.cc
@@ -21,9 +21,9 @@
   if (options_.with_server) {
     PutServer("s", /*draining=*/false);
   }
-  processes_.resize(At(options_.entries));
+  processes_.resize(ToIndex(options_.entries));
   for (int i = 0; i < options_.entries; ++i) {
-    processes_[At(i)].address = "10.0.0." + std::to_string(i + 1) + ":1";
+    processes_[ToIndex(i)].address = "10.0.0." + std::to_string(i + 1) + ":1";
   }
   for (int i = 0; i < options_.entries; ++i) {
     Start(i);
@@ -33,14 +33,14 @@
 FleetSimulation::~FleetSimulation() = default;
 
 InstanceInfo FleetSimulation::InfoOf(size_t entry) const {
-  const bool strong = entry < At(options_.strong);
+  const bool is_strong = entry < ToIndex(options_.strong_entries);
   return {.id = {.instance = "entry-" + std::to_string(entry),
                  .incarnation = processes_[entry].incarnation},
           .role = Role::kEntry,
           .data_centre = "govan",
           .region = "scot",
           .address = processes_[entry].address,
-          .processor_share = strong ? kStrongProcessorShare : 1.0};
+          .processor_share = is_strong ? kStrongProcessorShare : 1.0};
 }
 
 ForwardSource FleetSimulation::SourceOf(size_t entry) {
@@ -82,7 +82,7 @@
                     .incarnation = processes_[entry].incarnation,
                     .read = read,
                     .done = done,
-                    .ends = clock_.Now() + read.wait};
+                    .until = clock_.Now() + read.wait};
                 if (!Answer(waiting)) {
                   watches_.push_back(waiting);
                 }
@@ -121,15 +121,15 @@
   ObjectReadResult result;
   if (!store_down_) {
     result = {.outcome = ObjectReadResult::Outcome::kOk, .revision = revision_};
-    const bool watch = waiting.read.kind == ObjectRead::Kind::kWatch;
+    const bool is_watch = waiting.read.kind == ObjectRead::Kind::kWatch;
     for (const auto& [id, object] : objects_) {
-      const bool wanted =
-          watch ? object.revision > waiting.read.revision : !object.removed;
-      if (id.first == waiting.read.object_kind && wanted) {
+      const bool is_reported =
+          is_watch ? object.revision > waiting.read.revision : !object.removed;
+      if (id.first == waiting.read.object_kind && is_reported) {
         result.objects.push_back(object);
       }
     }
-    if (watch && result.objects.empty() && clock_.Now() < waiting.ends) {
+    if (is_watch && result.objects.empty() && clock_.Now() < waiting.until) {
       return false;
     }
   }
@@ -185,23 +185,23 @@
   return found == objects_.end() ? "" : found->second.status;
 }
 
-void FleetSimulation::set_cut(int a, int b, bool cut) {
-  const std::pair<size_t, size_t> pair = std::minmax(At(a), At(b));
-  if (cut) {
+void FleetSimulation::set_partitioned(int a, int b, bool partitioned) {
+  const std::pair<size_t, size_t> pair = std::minmax(ToIndex(a), ToIndex(b));
+  if (partitioned) {
     partitions_.insert(pair);
   } else {
     partitions_.erase(pair);
   }
 }
 
-void FleetSimulation::In(int entry,
-                         const std::function<void(ForwardNode&)>& act) {
-  act(node(entry));
-  ExecuteActions(At(entry));
+void FleetSimulation::RunIn(int entry,
+                            const std::function<void(ForwardNode&)>& task) {
+  task(node(entry));
+  ExecuteActions(ToIndex(entry));
 }
 
 void FleetSimulation::Start(int entry) {
-  Process& process = processes_[At(entry)];
+  Process& process = processes_[ToIndex(entry)];
   // Calendar time of the start in microseconds, as for real processes.
   process.incarnation = static_cast<uint64_t>(
       clock_.WallNow().time_since_epoch().count() + entry);
@@ -210,21 +210,22 @@
   ForwardNode::Options node = options_.node;
   for (int seed = 0; seed < options_.seeds; ++seed) {
     if (seed != entry) {
-      node.seeds.push_back(processes_[At(seed)].address);
+      node.seeds.push_back(processes_[ToIndex(seed)].address);
     }
   }
   process.node = std::make_unique<ForwardNode>(
-      node, InfoOf(At(entry)), SourceOf(At(entry)), hybrid::MakeHeaderCodec(),
-      *process.port, clock_, process.incarnation, log_, *process.metrics);
+      node, InfoOf(ToIndex(entry)), SourceOf(ToIndex(entry)),
+      hybrid::MakeHeaderCodec(), *process.port, clock_, process.incarnation,
+      log_, *process.metrics);
   process.node->Start();
-  ExecuteActions(At(entry));
+  ExecuteActions(ToIndex(entry));
 }
 
 void FleetSimulation::Kill(int entry) {
-  processes_[At(entry)].node.reset();
+  processes_[ToIndex(entry)].node.reset();
   std::vector<LinkId> dropped;
   for (const auto& [link, state] : links_) {
-    if (state.from == At(entry)) {
+    if (state.from == ToIndex(entry)) {
       dropped.push_back(link);
     }
   }
@@ -240,7 +241,7 @@
     while (!deliveries_.empty() && deliveries_.front().at <= clock_.Now()) {
       const Delivery next = std::move(deliveries_.front());
       deliveries_.pop_front();
-      next.act();
+      next.task();
     }
     if (clock_.Now() >= tick) {
       tick += kTick;
@@ -256,9 +257,9 @@
   }
 }
 
-void FleetSimulation::Schedule(std::function<void()> act) {
+void FleetSimulation::Schedule(std::function<void()> task) {
   deliveries_.push_back(
-      {.at = clock_.Now() + options_.network_delay, .act = std::move(act)});
+      {.at = clock_.Now() + options_.network_delay, .task = std::move(task)});
 }
 
 void FleetSimulation::ExecuteActions(size_t entry) {
@@ -334,7 +335,7 @@
 ExchangeId FleetSimulation::Request(int entry,
                                     const std::string& route,
                                     const std::string& body) {
-  Process& process = processes_[At(entry)];
+  Process& process = processes_[ToIndex(entry)];
   const ExchangeId exchange = ++last_exchange_;
   process.node->controller().OnRequest(
       exchange,
@@ -345,13 +346,13 @@
                   {"Authorization", "Bearer key"},
                   {"Deadline-Ms", "10000"}}},
       body);
-  ExecuteActions(At(entry));
+  ExecuteActions(ToIndex(entry));
   return exchange;
 }
 
 int FleetSimulation::Refused(int entry) const {
   static constexpr int kTooManyRequests = 429;
-  const Process& process = processes_[At(entry)];
+  const Process& process = processes_[ToIndex(entry)];
   const auto refused = std::ranges::count_if(
       process.port->clients,
       [](const auto& item) { return item.second.status == kTooManyRequests; });
--- a/test/fakes/fleet_simulation.h
+++ b/test/fakes/fleet_simulation.h
@@ -22,10 +22,10 @@
  public:
   struct Options {
     int entries = 4;
-    /// Number of entries with five times the processor share of the others.
-    /// These are the first ones.
-    int strong = 0;
-    /// Number of entries that are seeds; the first ones.
+    /// Number of entries, the first ones, with five times the processor share
+    /// of the others.
+    int strong_entries = 0;
+    /// Number of entries, the first ones, that are seeds.
     int seeds = 3;
     /// Whether the store lists a server "s" from the start.
     bool with_server = true;
@@ -58,39 +58,48 @@
                  const std::string& address = "10.0.1.1:1",
                  const std::string& version = "v1");
   void RemoveServer(const std::string& name);
-  /// Writes an object as an operator does. Its status is kept.
+  /// Writes the content of an object, as an operator does. The object keeps its
+  /// status.
   void PutObject(const std::string& kind,
                  const std::string& name,
                  const std::string& content);
   void RemoveObject(const std::string& kind, const std::string& name);
   /// Status that the entries wrote to the object; empty if none.
   std::string StatusOf(const std::string& kind, const std::string& name) const;
-  /// Sets whether the store is down; it then answers no request.
+  /// Sets whether the store is down, which fails every read and write.
   void set_store_down(bool down) { store_down_ = down; }
   /// Number of reads by entries since the last ResetCounts.
   uint64_t store_reads() const { return store_reads_; }
 
   /// Starts or ends a partition between two entries.
-  void set_cut(int a, int b, bool cut);
+  void set_partitioned(int a, int b, bool partitioned);
 
   /// Records what the entry sent to servers and clients since its start.
-  FakeForwardPort& port(int entry) { return *processes_[At(entry)].port; }
+  FakeForwardPort& port(int entry) { return *processes_[ToIndex(entry)].port; }
   /// Calls a function on the entry's node, then executes the node's actions, as
   /// for an external event.
-  void In(int entry, const std::function<void(ForwardNode&)>& act);
+  void RunIn(int entry, const std::function<void(ForwardNode&)>& task);
   TimePoint Now() const { return clock_.Now(); }
   uint64_t incarnation(int entry) const {
-    return processes_[At(entry)].incarnation;
+    return processes_[ToIndex(entry)].incarnation;
   }
 
-  ForwardNode& node(int entry) { return *processes_[At(entry)].node; }
-  bool runs(int entry) const { return processes_[At(entry)].node != nullptr; }
+  ForwardNode& node(int entry) { return *processes_[ToIndex(entry)].node; }
+  bool IsRunning(int entry) const {
+    return processes_[ToIndex(entry)].node != nullptr;
+  }
   /// Number of messages that the entry sent since the last ResetCounts.
-  uint64_t Sent(int entry) const { return processes_[At(entry)].sent; }
-  uint64_t Received(int entry) const { return processes_[At(entry)].received; }
+  uint64_t messages_sent(int entry) const {
+    return processes_[ToIndex(entry)].sent;
+  }
+  /// Number of messages that the entry received since the last ResetCounts.
+  uint64_t messages_received(int entry) const {
+    return processes_[ToIndex(entry)].received;
+  }
   /// Number of entries in lists that were sent since the last ResetCounts.
   uint64_t list_entries_sent() const { return list_entries_sent_; }
-  /// Number of servers in lists and changes that were sent since then.
+  /// Number of servers in lists and changes that were sent since the last
+  /// ResetCounts.
   uint64_t server_updates_sent() const { return server_updates_sent_; }
   void ResetCounts();
   int entries() const { return options_.entries; }
@@ -115,27 +124,30 @@
     uint64_t incarnation = 0;
     ObjectRead read;
     std::function<void(const ObjectReadResult&)> done;
-    TimePoint ends;
+    TimePoint until;
   };
   struct Delivery {
     TimePoint at;
-    std::function<void()> act;
+    std::function<void()> task;
   };
 
-  static size_t At(int entry) { return static_cast<size_t>(entry); }
+  static size_t ToIndex(int entry) { return static_cast<size_t>(entry); }
   InstanceInfo InfoOf(size_t entry) const;
   void WriteStatus(size_t entry,
                    const RolloutOrder& order,
                    const RolloutRecord& record,
                    const std::function<void(const RecordWrite&)>& done);
-  /// @return false if the watch has nothing to report yet
+  /// Answers a read, unless it is a watch without a change before its timeout.
+  ///
+  /// @return whether the read was answered
   bool Answer(const WaitingRead& waiting);
   void AnswerWatches();
   ForwardSource SourceOf(size_t entry);
   void ExecuteActions(size_t entry);
   void Connect(size_t from, const std::string& address);
   void CloseLinkOf(LinkId link);
-  void Schedule(std::function<void()> act);
+  /// Schedules a task after the network delay.
+  void Schedule(std::function<void()> task);
   bool ArePartitioned(size_t a, size_t b) const {
     return partitions_.contains(std::minmax(a, b));
   }
--- a/test/fakes/forward_simulation.cc
+++ b/test/fakes/forward_simulation.cc
@@ -154,7 +154,7 @@
 
 void ForwardSimulation::Advance(Duration by) {
   constexpr Duration kTick = std::chrono::milliseconds(20);
-  for (Duration gone{}; gone < by; gone += kTick) {
+  for (Duration elapsed{}; elapsed < by; elapsed += kTick) {
     clock.Advance(kTick);
     slot_scheduler.GrantFreeSlots();
     controller.Tick();
--- a/test/fakes/platform_core.h
+++ b/test/fakes/platform_core.h
@@ -25,8 +25,8 @@
     kLoseWriteAnswers,
   };
 
-  /// Answers a call. A watch without a newer version gets 304; to wait, its
-  /// caller repeats the call.
+  /// Answers a call. A watch without a newer version gets 304 at once; to wait,
+  /// the caller repeats the call.
   PlatformReply Handle(const PlatformCall& call);
 
   void set_mode(Mode mode) { mode_ = mode; }
--- a/test/fakes/simulated_servers.cc
+++ b/test/fakes/simulated_servers.cc
@@ -18,7 +18,7 @@
 SimulatedServers::SimulatedServers(FleetSimulation& fleet,
                                    const Options& options)
     : fleet_(fleet), options_(options) {
-  servers_.resize(At(options_.servers));
+  servers_.resize(ToIndex(options_.servers));
   for (size_t i = 0; i < servers_.size(); ++i) {
     servers_[i].address = "10.0.2." + std::to_string(i + 1) + ":1";
     Start(i);
@@ -42,22 +42,22 @@
 void SimulatedServers::Start(size_t index) {
   Server& server = servers_[index];
   server.id =
-      "s" + std::to_string(index) + "." + std::to_string(server.start++);
+      "s" + std::to_string(index) + "." + std::to_string(server.starts++);
   server.up = true;
   fleet_.PutServer(server.id, /*draining=*/false, server.address);
 }
 
 void SimulatedServers::Crash(int server) {
-  if (servers_[At(server)].up) {
-    CrashServer(At(server));
+  if (servers_[ToIndex(server)].up) {
+    CrashServer(ToIndex(server));
   }
 }
 
 void SimulatedServers::CrashServer(size_t index) {
   Server& server = servers_[index];
   server.up = false;
-  server.back_at = fleet_.Now() + options_.back_after;
-  pending_removals_[server.id] = fleet_.Now() + options_.removed_after;
+  server.restart_at = fleet_.Now() + options_.restart_delay;
+  pending_removals_[server.id] = fleet_.Now() + options_.removal_delay;
   ++crashes_;
   for (const Run& run : TakeRuns(index)) {
     Fail(run, AttemptFailure::kDisconnected);
@@ -65,7 +65,7 @@
 }
 
 void SimulatedServers::ResetConnections(int server) {
-  for (const Run& run : TakeRuns(At(server))) {
+  for (const Run& run : TakeRuns(ToIndex(server))) {
     Fail(run, AttemptFailure::kDisconnected);
   }
 }
@@ -86,7 +86,7 @@
 }
 
 bool SimulatedServers::IsAwaited(const Run& run) const {
-  if (!fleet_.runs(run.entry) ||
+  if (!fleet_.IsRunning(run.entry) ||
       fleet_.incarnation(run.entry) != run.incarnation) {
     return false;
   }
@@ -98,7 +98,7 @@
 
 void SimulatedServers::Fail(const Run& run, AttemptFailure failure) {
   if (IsAwaited(run)) {
-    fleet_.In(run.entry, [&](ForwardNode& node) {
+    fleet_.RunIn(run.entry, [&](ForwardNode& node) {
       node.controller().OnAttemptFailed(run.attempt.attempt, failure);
     });
   }
@@ -115,7 +115,7 @@
   head.fields.push_back(status == kMisdirected
                             ? HttpField{"Not-Executed", "1"}
                             : HttpField{"Response-Seal", "seal"});
-  fleet_.In(run.entry, [&](ForwardNode& node) {
+  fleet_.RunIn(run.entry, [&](ForwardNode& node) {
     node.controller().OnAnswerHead(run.attempt.attempt, head, /*fresh=*/true);
     node.controller().OnAnswerChunk(run.attempt.attempt, "answer");
     node.controller().OnAnswerEnd(run.attempt.attempt);
@@ -138,27 +138,27 @@
                    .attempt = attempt,
                    .body = BodyOf(attempt),
                    .server = static_cast<size_t>(server - servers_.begin()),
-                   .since = fleet_.Now()};
+                   .started_at = fleet_.Now()};
   if (!server->up) {
     Fail(run, AttemptFailure::kNotConnected);
   } else if (attempt.Field("Expect-Instance") != server->id) {
     Answer(run, kMisdirected);
   } else {
-    reached_[run.body].push_back(fleet_.Now());
+    arrival_times_[run.body].push_back(fleet_.Now());
     runs_.push_back(run);
   }
 }
 
 void SimulatedServers::Advance(const Run& run) {
-  const Duration ran = fleet_.Now() - run.since;
+  const Duration ran = fleet_.Now() - run.started_at;
   if (crashing_bodies_.contains(run.body)) {
-    if (ran >= options_.crashes_after) {
-      ended_[run.body].push_back(fleet_.Now());
+    if (ran >= options_.crash_delay) {
+      crash_times_[run.body].push_back(fleet_.Now());
       Crash(static_cast<int>(run.server));
     }
     return;
   }
-  if (ran >= options_.answers_after) {
+  if (ran >= options_.answer_delay) {
     std::erase_if(runs_, [&run](const Run& other) {
       return other.entry == run.entry &&
              other.attempt.attempt == run.attempt.attempt;
@@ -169,7 +169,7 @@
 
 void SimulatedServers::Step() {
   for (size_t i = 0; i < servers_.size(); ++i) {
-    if (!servers_[i].up && fleet_.Now() >= servers_[i].back_at) {
+    if (!servers_[i].up && fleet_.Now() >= servers_[i].restart_at) {
       Start(i);
     }
   }
@@ -182,18 +182,20 @@
     }
   }
   for (int entry = 0; entry < fleet_.entries(); ++entry) {
-    if (fleet_.runs(entry)) {
+    if (fleet_.IsRunning(entry)) {
       ReceiveAttempts(entry);
     }
   }
   const std::vector<Run> runs = runs_;
   for (const Run& run : runs) {
     // An earlier run of this loop may have crashed the server of this run.
-    const bool here = std::ranges::any_of(runs_, [&run](const Run& other) {
-      return other.entry == run.entry && other.incarnation == run.incarnation &&
-             other.attempt.attempt == run.attempt.attempt;
-    });
-    if (here) {
+    const bool still_running =
+        std::ranges::any_of(runs_, [&run](const Run& other) {
+          return other.entry == run.entry &&
+                 other.incarnation == run.incarnation &&
+                 other.attempt.attempt == run.attempt.attempt;
+        });
+    if (still_running) {
       Advance(run);
     }
   }
--- a/test/fakes/simulated_servers.h
+++ b/test/fakes/simulated_servers.h
@@ -13,26 +13,30 @@
 
 namespace lavenderkeel::fakes {
 
-/// Simulation of the backend servers of a FleetSimulation. Requests with
-/// certain bodies crash them; they restart with a new id at the same address.
+/// Simulation of the backend servers of a FleetSimulation. A server crashes
+/// when it runs a request with a crashing body, and restarts with a new id at
+/// the same address.
 class SimulatedServers {
  public:
   struct Options {
     int servers = 8;
-    Duration answers_after = std::chrono::milliseconds(100);
+    /// From the start of a run to its answer.
+    Duration answer_delay = std::chrono::milliseconds(100);
     /// From the start of a run to the crash of its server.
-    Duration crashes_after = std::chrono::milliseconds(40);
+    Duration crash_delay = std::chrono::milliseconds(40);
     /// From the crash to the restart of a server.
-    Duration back_after = std::chrono::seconds(3);
-    /// How long the store lists a crashed server.
-    Duration removed_after = std::chrono::milliseconds(3600);
+    Duration restart_delay = std::chrono::seconds(3);
+    /// From the crash of a server to its removal from the store.
+    Duration removal_delay = std::chrono::milliseconds(3600);
   };
 
   SimulatedServers(FleetSimulation& fleet, const Options& options);
 
   /// Advances the time of the servers and of the fleet.
   void Advance(Duration by);
-  void set_back_after(Duration back_after) { options_.back_after = back_after; }
+  void set_restart_delay(Duration restart_delay) {
+    options_.restart_delay = restart_delay;
+  }
   /// Makes requests with this body crash the server that runs them.
   void SetCrashing(const std::string& body) { crashing_bodies_.insert(body); }
   /// Crashes a server independently of its requests.
@@ -44,23 +48,23 @@
   std::optional<int> ServerOf(const std::string& body) const;
 
   int crashes() const { return crashes_; }
-  bool up(int server) const { return servers_[At(server)].up; }
+  bool IsRunning(int server) const { return servers_[ToIndex(server)].up; }
   /// Times at which requests with this body reached a server.
-  const std::vector<TimePoint>& reached(const std::string& body) {
-    return reached_[body];
+  const std::vector<TimePoint>& arrival_times(const std::string& body) {
+    return arrival_times_[body];
   }
   /// Times at which requests with this body crashed a server.
-  const std::vector<TimePoint>& ended(const std::string& body) {
-    return ended_[body];
+  const std::vector<TimePoint>& crash_times(const std::string& body) {
+    return crash_times_[body];
   }
 
  private:
   struct Server {
     std::string id;
     std::string address;
-    int start = 0;
+    int starts = 0;
     bool up = false;
-    TimePoint back_at;
+    TimePoint restart_at;
   };
   struct Run {
     int entry = 0;
@@ -68,14 +72,15 @@
     SentAttempt attempt;
     std::string body;
     size_t server = 0;
-    TimePoint since;
+    TimePoint started_at;
   };
 
-  static size_t At(int server) { return static_cast<size_t>(server); }
+  static size_t ToIndex(int server) { return static_cast<size_t>(server); }
   static std::string BodyOf(const SentAttempt& attempt);
   void Step();
   void ReceiveAttempts(int entry);
   void ReceiveAttempt(int entry, const SentAttempt& attempt);
+  /// Answers a run that is due, or crashes its server.
   void Advance(const Run& run);
   void Start(size_t server);
   void CrashServer(size_t server);
@@ -83,6 +88,7 @@
   std::vector<Run> TakeRuns(size_t server);
   void Fail(const Run& run, AttemptFailure failure);
   void Answer(const Run& run, int status);
+  /// Whether the entry still waits for the answer of the run.
   bool IsAwaited(const Run& run) const;
 
   FleetSimulation& fleet_;
@@ -95,8 +101,8 @@
   /// Number of processed attempts, by entry and incarnation.
   std::map<std::pair<int, uint64_t>, size_t> received_counts_;
   std::set<std::string> crashing_bodies_;
-  std::map<std::string, std::vector<TimePoint>> reached_;
-  std::map<std::string, std::vector<TimePoint>> ended_;
+  std::map<std::string, std::vector<TimePoint>> arrival_times_;
+  std::map<std::string, std::vector<TimePoint>> crash_times_;
   int crashes_ = 0;
 };
 
--- a/test/forward/crash_simulation.h
+++ b/test/forward/crash_simulation.h
@@ -65,7 +65,7 @@
   }
 
   void Send(int entry, const std::string& body) {
-    if (fleet_.runs(entry)) {
+    if (fleet_.IsRunning(entry)) {
       sent_requests_.push_back(
           {.entry = entry,
            .incarnation = fleet_.incarnation(entry),
@@ -138,14 +138,14 @@
   }
 
   int CountLateRetriesOf(const std::string& body) {
-    std::vector<TimePoint> ended = simulated_servers_.ended(body);
+    std::vector<TimePoint> ended = simulated_servers_.crash_times(body);
     std::ranges::sort(ended);
     constexpr size_t kThird = 2;
     if (ended.size() <= kThird) {
       return 0;
     }
     return static_cast<int>(std::ranges::count_if(
-        simulated_servers_.reached(body),
+        simulated_servers_.arrival_times(body),
         [&](TimePoint at) { return at > ended[kThird] + kReportDelay; }));
   }
 
@@ -160,7 +160,8 @@
             const std::function<bool(const fakes::ClientView&)>& counts) {
     return static_cast<int>(
         std::ranges::count_if(sent_requests_, [&](const Request& request) {
-          return request.body.starts_with(body) && fleet_.runs(request.entry) &&
+          return request.body.starts_with(body) &&
+                 fleet_.IsRunning(request.entry) &&
                  fleet_.incarnation(request.entry) == request.incarnation &&
                  counts(fleet_.port(request.entry).clients[request.exchange]);
         }));
--- a/test/forward/crashing_request_test.cc
+++ b/test/forward/crashing_request_test.cc
@@ -66,7 +66,7 @@
        {Duration(milliseconds(100)), Duration(milliseconds(700)),
         Duration(seconds(8))}) {
     CrashSimulation simulation(
-        {.simulated_servers = {.back_after = restart_delay}});
+        {.simulated_servers = {.restart_delay = restart_delay}});
     simulation.SendTraffic(seconds(40));
     CheckCrashesStopped(simulation);
   }
@@ -115,7 +115,7 @@
   for (const Duration restart_delay :
        {Duration(milliseconds(500)), Duration(seconds(8))}) {
     CrashSimulation simulation(
-        {.simulated_servers = {.back_after = restart_delay},
+        {.simulated_servers = {.restart_delay = restart_delay},
          .crashing_every = Duration::zero()});
     simulation.SendTraffic(seconds(50), [&](Duration now) {
       constexpr Duration kPeriod = seconds(12);
@@ -135,8 +135,8 @@
   for (const Duration restart_delay :
        {Duration(milliseconds(500)), Duration(seconds(5))}) {
     CrashSimulation simulation(
-        {.simulated_servers = {.crashes_after = milliseconds(1500),
-                               .back_after = restart_delay}});
+        {.simulated_servers = {.crash_delay = milliseconds(1500),
+                               .restart_delay = restart_delay}});
     simulation.SendTraffic(seconds(50));
     CheckCrashesStopped(simulation);
   }
@@ -174,7 +174,7 @@
   const auto set_cut = [&](bool cut) {
     for (const int a : {0, 1}) {
       for (const int b : {2, 3}) {
-        simulation.fleet().set_cut(a, b, cut);
+        simulation.fleet().set_partitioned(a, b, cut);
       }
     }
   };
@@ -213,7 +213,7 @@
 // after the other for another reason.
 BOOST_AUTO_TEST_CASE(EqualRequestsAreServedWhileServersCrashInTurn) {
   CrashSimulation simulation(
-      {.simulated_servers = {.back_after = milliseconds(1500)},
+      {.simulated_servers = {.restart_delay = milliseconds(1500)},
        .crashing_every = Duration::zero(),
        .equal_every = milliseconds(30)});
   simulation.SendTraffic(seconds(40), [&](Duration now) {
@@ -231,7 +231,7 @@
 // Guards against the same failure if all servers of a service crash at once.
 BOOST_AUTO_TEST_CASE(EqualRequestsAreServedAfterAllServersCrashedAtOnce) {
   CrashSimulation simulation(
-      {.simulated_servers = {.servers = 3, .back_after = seconds(1)},
+      {.simulated_servers = {.servers = 3, .restart_delay = seconds(1)},
        .crashing_every = Duration::zero(),
        .harmless_every = milliseconds(100),
        .equal_every = milliseconds(40)});
@@ -280,8 +280,9 @@
   CrashSimulation simulation({.crashing_every = milliseconds(50),
                               .harmless_every = milliseconds(200)});
   simulation.SendTraffic(seconds(6));
-  const size_t reached =
-      simulation.simulated_servers().reached(CrashSimulation::kCrashing).size();
+  const size_t reached = simulation.simulated_servers()
+                             .arrival_times(CrashSimulation::kCrashing)
+                             .size();
   for (int round = 0; round < 10; ++round) {
     simulation.fleet().Kill(3);
     simulation.fleet().Start(3);
@@ -291,7 +292,7 @@
     }
   }
   BOOST_TEST(simulation.simulated_servers()
-                 .reached(CrashSimulation::kCrashing)
+                 .arrival_times(CrashSimulation::kCrashing)
                  .size() == reached);
 }
 
--- a/test/forward/fleet_test.cc
+++ b/test/forward/fleet_test.cc
@@ -16,7 +16,7 @@
 /// receives in a second.
 uint64_t MaxIdleMessagesPerSecond(int entries,
                                   const CoordinatorRules& rules = {}) {
-  FleetSimulation::Options options = {.entries = entries, .strong = 10};
+  FleetSimulation::Options options = {.entries = entries, .strong_entries = 10};
   options.node.exchange.entry_directory.coordinators = rules;
   FleetSimulation fleet(options);
   fleet.Advance(seconds(4));
@@ -24,7 +24,8 @@
   fleet.Advance(seconds(1));
   uint64_t max_messages = 0;
   for (int i = 10; i < entries; ++i) {
-    max_messages = std::max(max_messages, fleet.Sent(i) + fleet.Received(i));
+    max_messages = std::max(
+        max_messages, fleet.messages_sent(i) + fleet.messages_received(i));
   }
   return max_messages;
 }
@@ -49,7 +50,7 @@
 /// Number of running entries of 60 that know that the server is draining.
 int CountWithoutUsableServer(FleetSimulation& fleet) {
   return static_cast<int>(std::ranges::count_if(Range(0, 60), [&](int entry) {
-    return fleet.runs(entry) &&
+    return fleet.IsRunning(entry) &&
            fleet.node(entry).directory().Usable("engines").empty();
   }));
 }
@@ -76,7 +77,7 @@
 // from all, it lets through only a part of each team's rate, so callers would
 // get 429.
 BOOST_AUTO_TEST_CASE(LargeFleetConnectsSoonAfterStart) {
-  FleetSimulation fleet({.entries = 103, .strong = 15});
+  FleetSimulation fleet({.entries = 103, .strong_entries = 15});
   fleet.Advance(milliseconds(700));
   BOOST_TEST(CountFullyConnected(fleet, Range(0, 103)) == 103);
   const std::set<std::string> expected_coordinators =
@@ -93,7 +94,8 @@
 BOOST_AUTO_TEST_CASE(EachPeerOfAPairSendsItsListOnce) {
   constexpr uint64_t kEntries = 100;
   constexpr uint64_t kSeeds = 3;
-  FleetSimulation fleet({.entries = kEntries, .strong = 15, .seeds = kSeeds});
+  FleetSimulation fleet(
+      {.entries = kEntries, .strong_entries = 15, .seeds = kSeeds});
   fleet.Advance(milliseconds(700));
   BOOST_TEST_MESSAGE("list entries sent: " << fleet.list_entries_sent());
   BOOST_TEST(CountFullyConnected(fleet, Range(0, kEntries)) == 100);
@@ -108,7 +110,7 @@
 // All coordinators die at once. The next entries in order must take over, so
 // that clients are refused no longer than the detection takes.
 BOOST_AUTO_TEST_CASE(OtherEntriesReplaceLostCoordinators) {
-  FleetSimulation fleet({.entries = 40, .strong = 6, .seeds = 6});
+  FleetSimulation fleet({.entries = 40, .strong_entries = 6, .seeds = 6});
   fleet.Advance(seconds(2));
   for (const int entry : Range(0, 6)) {
     fleet.Kill(entry);
@@ -118,7 +120,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(RestartedCoordinatorReconnects) {
-  FleetSimulation fleet({.entries = 40, .strong = 6});
+  FleetSimulation fleet({.entries = 40, .strong_entries = 6});
   fleet.Advance(seconds(2));
   fleet.Kill(0);
   fleet.Advance(seconds(3));
@@ -132,7 +134,7 @@
 // the coordinators may read, and all entries must know in time to send a
 // leaving server no more requests.
 BOOST_AUTO_TEST_CASE(OnlyCoordinatorsReadServerChanges) {
-  FleetSimulation fleet({.entries = 60, .strong = 8});
+  FleetSimulation fleet({.entries = 60, .strong_entries = 8});
   fleet.Advance(seconds(3));
   fleet.ResetCounts();
   constexpr int kChanges = 5;
@@ -148,7 +150,7 @@
 // The coordinators die while a server leaves. The others must read the store
 // until there are new ones, so that the server gets no more requests.
 BOOST_AUTO_TEST_CASE(ServerChangesArriveThoughAllCoordinatorsDie) {
-  FleetSimulation fleet({.entries = 60, .strong = 8, .seeds = 10});
+  FleetSimulation fleet({.entries = 60, .strong_entries = 8, .seeds = 10});
   fleet.Advance(seconds(3));
   for (const int entry : Range(0, 8)) {
     fleet.Kill(entry);
@@ -161,7 +163,7 @@
 // A server leaves while the store is unavailable. All entries must know soon
 // after its return, and until then only the coordinators may retry.
 BOOST_AUTO_TEST_CASE(OnlyCoordinatorsRetryDuringStoreOutage) {
-  FleetSimulation fleet({.entries = 60, .strong = 8});
+  FleetSimulation fleet({.entries = 60, .strong_entries = 8});
   fleet.Advance(seconds(3));
   fleet.set_store_down(true);
   fleet.Advance(seconds(1));
@@ -189,7 +191,7 @@
   constexpr double kSlack = 50;
   FleetSimulation::Options options = {
       .entries = 60,
-      .strong = 8,
+      .strong_entries = 8,
       .rate = {.per_second = kRate, .burst = kBurst}};
   options.node.controller.rates.tolerance = {.over = kOver, .slack = kSlack};
   FleetSimulation fleet(options);
@@ -220,7 +222,7 @@
   constexpr uint64_t kServers = 200;
   constexpr uint64_t kFollowers = 20;
   FleetSimulation fleet({.entries = 30,
-                         .strong = 10,
+                         .strong_entries = 10,
                          .with_server = false,
                          .network_delay = milliseconds(250)});
   fleet.Advance(seconds(4));
--- a/test/fuzz/driver.cc
+++ b/test/fuzz/driver.cc
@@ -3,8 +3,8 @@
 #include <iostream>
 #include <optional>
 
+#include "test/fuzz/simulation.h"
 #include "test/fuzz/step.h"
-#include "test/fuzz/world.h"
 
 namespace lavenderkeel::fuzz {
 
@@ -141,17 +141,18 @@
     }
     const bool all_ended = simulation_.RunUntil(
         [this] {
-          RestartDead();
-          return simulation_.oracle().open() == 0;
+          RestartEndedProcesses();
+          return simulation_.oracle().open_callers() == 0;
         },
         std::chrono::seconds(240));
     if (!all_ended) {
-      simulation_.oracle().AddViolation("callers without an outcome:" +
-                                        simulation_.oracle().DescribeOpen());
+      simulation_.oracle().AddViolation(
+          "callers without an outcome:" +
+          simulation_.oracle().DescribeOpenCallers());
     }
     simulation_.RunUntil(
         [this] {
-          RestartDead();
+          RestartEndedProcesses();
           return EntriesAgree();
         },
         std::chrono::seconds(120));
@@ -205,7 +206,7 @@
     }
   }
 
-  void RestartDead() {
+  void RestartEndedProcesses() {
     for (size_t i = 0; i < simulation_.processes(); ++i) {
       if (!simulation_.alive(i)) {
         simulation_.Restart(i);
--- a/test/fuzz/former_finds_test.cc
+++ b/test/fuzz/former_finds_test.cc
@@ -21,6 +21,8 @@
 
 }  // namespace
 
+// Guards against faults that end in a second start, a wrong outcome or no
+// outcome. Each sequence is listed with its violation and cause.
 BOOST_AUTO_TEST_CASE(FormerFindsHold) {
   const Finding findings[] = {
       {"retry got 'leaving' although the request ran; a lost holder was "
@@ -36,7 +38,7 @@
       {"started twice; an unconfirmed claim hid the earlier one", 366083,
        "retry(0,0,101), submit(0,1,7), crash(3,0,4), crash(12,3,106), "
        "retry(5,0,5), crash(8,0,0), retry(2,0,0)"},
-      {"started twice; as above, both at the same time", 33352,
+      {"started twice; an unconfirmed claim hid a simultaneous one", 33352,
        "submit(2,1,1), retry(0,0,0)"},
       {"two callers without an outcome; each entry waited for the other",
        256355,
@@ -50,7 +52,7 @@
        "heal(0,0,0), crash(0,0,815), submit(0,0,4), retry(14,57,0)"},
       {"no outcome; a preempted lookup stayed assigned to its first entry", 1,
        "burst(0,0,2), retry(1,0,0), burst(0,1,11), crash(0,0,0)"},
-      {"no outcome; a dead entry's reservations held every slot", 150905,
+      {"no outcome; a killed entry's reservations held every slot", 150905,
        "burst(10,1,15), crash(12,0,0), submit(0,0,0)"},
       {"'deadline_passed' although the request ran; its entry was frozen "
        "meanwhile",
@@ -100,7 +102,7 @@
 // refused again, 29,831 times in four minutes, and the caller never gets an
 // outcome.
 BOOST_AUTO_TEST_CASE(LookupOfTwoEntriesEndsAfterLinkRecovery) {
-  Replay({"no outcome; a lookup was refused forever", 11189,
+  Replay({"no outcome; a lookup was refused endlessly", 11189,
           "submit(7,117,273), submit(0,0,864), slow-engine(0,0,101), "
           "submit(0,4,2), restart(0,0,2068), silence(29,18,0), "
           "retry(0,0,59), submit(0,178,35), submit(0,1,27), "
@@ -142,7 +144,7 @@
       {"started twice; the claim named no agents", 93983,
        "kill(28,0,1423), freeze(8,68,1), leave(23,0,0), kill(0,0,1352), "
        "heal(0,0,1), submit-everywhere(0,2,1251), freeze(9,71,0)"},
-      {"ran, but its caller was told no_server", 171641,
+      {"ran, but its caller received no_server", 171641,
        "retry(0,0,9), kill-silently(13,0,209), partition(0,97,5), "
        "crash(17,15,2699), partition(24,0,1744), lose(0,0,1), "
        "partition(0,0,170), submit(0,2,214), submit-everywhere(5,2,1903), "
@@ -159,10 +161,10 @@
 // reports it as not run (no_server, deadline_passed) although it ran.
 BOOST_AUTO_TEST_CASE(WaitingKeyIsNotReportedNotRunAfterATakeover) {
   const Finding findings[] = {
-      {"ran, but its caller was told no_server", 319349,
+      {"ran, but its caller received no_server", 319349,
        "partition(17,76,1635), retry(0,0,1214), partition(19,146,1355), "
        "submit-everywhere(0,2,1651), restart(0,0,2546), retry(0,0,2394)"},
-      {"ran, but its caller was told deadline_passed", 411653,
+      {"ran, but its caller received deadline_passed", 411653,
        "kill-silently(6,0,3472), crash(16,0,0), partition(17,138,1000), "
        "retry(0,0,171), restart(0,0,1151), crash(0,0,259), "
        "partition(18,194,1), retry(0,0,1103), partition(0,0,1382), "
@@ -186,13 +188,13 @@
 }
 
 // An entry reports a key as not run (deadline_passed), and so does a second
-// entry to which the caller turns; the second entry queries the agents and
+// entry at which the caller retries; the second entry queries the agents and
 // takes the key over. The caller also retries at the first entry, which the
 // holders still name as the owner. While the first entry waited for the
 // platform, the second started the key, and the first reported it as not run
 // (no_server) although it ran.
 BOOST_AUTO_TEST_CASE(KeyDuringTakeoverIsNotReportedNotRunByItsFormerOwner) {
-  Replay({"ran, but its caller was told no_server", 212711,
+  Replay({"ran, but its caller received no_server", 212711,
           "heal(0,0,184), partition(7,0,1), partition(28,44,1782), "
           "partition(20,11,1251), submit(14,29,1016), retry(0,0,1), "
           "retry(2,0,0)"});
--- a/test/fuzz/fuzz_test.cc
+++ b/test/fuzz/fuzz_test.cc
@@ -77,12 +77,12 @@
   });
 }
 
-/// Runs generated sequences of such steps until one violates a guarantee.
+/// Runs sequences of generated steps until one violates a guarantee.
 ///
-/// @param what name of the property, for the output
-bool CheckProperty(const char* what,
+/// @param name the name of the property, for the output
+bool CheckProperty(const char* name,
                    const std::function<rc::Gen<Step>()>& any_step) {
-  return rc::check(what, [&any_step] {
+  return rc::check(name, [&any_step] {
     const uint64_t seed = *rc::gen::inRange<uint64_t>(1, 1'000'000);
     const auto steps = *rc::gen::container<std::vector<Step>>(any_step());
     const std::string violation = RunSteps(seed, steps);
@@ -102,6 +102,9 @@
                            AnyStepAroundPartitions));
 }
 
+// Arbitrary sequences of requests, configuration changes and faults. No request
+// may run twice or get a wrong outcome, and after the faults every caller must
+// get an outcome and the entries must agree on the configuration.
 BOOST_AUTO_TEST_CASE(PromisesHoldUnderAnyFaults) {
   if (const char* steps = std::getenv("FUZZ_PLAY")) {
     // Replays printed steps: FUZZ_SEED=N FUZZ_PLAY="submit(0,1,8), ..."
--- a/test/fuzz/oracle.cc
+++ b/test/fuzz/oracle.cc
@@ -77,7 +77,7 @@
   if (!logical.repeatable && logical.outstanding <= 0) {
     AddViolation(
         logical.word +
-        " was started after all callers were told that it did not run");
+        " was started after it was reported as not run to all callers");
   }
 }
 
@@ -100,7 +100,7 @@
                              !found->second.reads_only;
   if (outcome == Outcome::kNotRun && about_running && !logical.repeatable) {
     if (logical.starts > 0) {
-      AddViolation(logical.word + " ran, but its caller was told " +
+      AddViolation(logical.word + " ran, but its caller received " +
                    std::string(Describe(code).name));
     }
     --logical.outstanding;
@@ -133,7 +133,7 @@
   }
   if (found != callers_.end() && found->second.streaming) {
     AddViolation(found->second.word +
-                 " got a whole reply after a stream's head");
+                 " got a complete reply after a stream's head");
   }
   OnOutcome(reply.caller, code);
 }
@@ -167,7 +167,7 @@
   OnOutcome(reply.caller, ResultCode::kServerLost);
 }
 
-std::string Oracle::DescribeOpen() const {
+std::string Oracle::DescribeOpenCallers() const {
   std::string text;
   for (const auto& [id, caller] : callers_) {
     text += " " + caller.word + (caller.reads_only ? "(read)" : "");
--- a/test/fuzz/oracle.h
+++ b/test/fuzz/oracle.h
@@ -12,8 +12,8 @@
 
 namespace lavenderkeel::fuzz {
 
-/// Checks the system's guarantees as a black box: from the requests and replies
-/// of callers and the starts of engines.
+/// Black-box checker of the system's guarantees. Its only input is the requests
+/// and replies of callers and the starts of requests at engines.
 class Oracle {
  public:
   /// A logical request: one key, submitted once or several times.
@@ -22,7 +22,8 @@
     bool repeatable = false;
     uint32_t tokens = 0;
     uint32_t starts = 0;
-    /// Submissions that may still run: sent, and not reported as not run.
+    /// Number of submissions that may still run: sent, and not reported as not
+    /// run.
     int outstanding = 0;
     bool answered = false;
   };
@@ -35,6 +36,7 @@
                 uint32_t tokens);
   /// Registers a caller that only reads the answer, which must not start a run.
   void OnRead(CallerId caller, const std::string& word);
+  /// Handles the start of a request at an engine.
   void OnStart(const std::string& prompt);
   /// Handles a caller's connection that broke before an outcome.
   void OnDisconnect(CallerId caller);
@@ -50,12 +52,13 @@
   }
   const std::vector<std::string>& violations() const { return violations_; }
   /// Number of callers that have no final outcome yet.
-  size_t open() const { return callers_.size(); }
-  std::string DescribeOpen() const;
+  size_t open_callers() const { return callers_.size(); }
+  std::string DescribeOpenCallers() const;
   size_t Count(ResultCode code) const {
     const auto found = outcome_counts_.find(code);
     return found == outcome_counts_.end() ? 0 : found->second;
   }
+  /// Returns the number of outcomes per result code.
   std::string Summary() const;
 
  private:
--- a/test/fuzz/world.cc
+++ b/test/fuzz/simulation.cc
@@ -1,4 +1,4 @@
-#include "test/fuzz/world.h"
+#include "test/fuzz/simulation.h"
 
 #include <algorithm>
 #include <boost/json.hpp>
@@ -16,8 +16,8 @@
 constexpr Duration kCallTimeout = std::chrono::seconds(2);
 constexpr Duration kWatchPoll = std::chrono::milliseconds(100);
 constexpr Duration kDialTimeout = std::chrono::seconds(1);
-/// Limit of pending events of all processes, to detect unbounded messages. Far
-/// more than any load of the tests needs.
+/// Limit of pending events of all processes, which detects an unbounded number
+/// of messages. Far above the load of any test.
 constexpr size_t kMaxPendingEvents = 50'000;
 /// From the start of a crashing prompt to the crash of its engine.
 constexpr Duration kCrashDelay = std::chrono::milliseconds(60);
@@ -57,9 +57,9 @@
   std::unique_ptr<EntryNode> entry;
   std::unique_ptr<AgentNode> agent;
   bool alive = false;
-  bool left = false;
+  bool leaving = false;
   TimePoint frozen_until;
-  TimePoint left_at;
+  TimePoint leaving_since;
   uint64_t version = 0;
   uint64_t bytes_sent = 0;
   uint64_t messages_sent = 0;
@@ -131,7 +131,7 @@
     oracle_.OnStart(prompt);
     const Process& process = *processes_[options_.entries + agent];
     constexpr Duration kBound = std::chrono::seconds(3);
-    if (process.left && clock_.Now() - process.left_at > kBound) {
+    if (process.leaving && clock_.Now() - process.leaving_since > kBound) {
       oracle_.AddViolation(process.info.id.instance +
                            " got work after leaving");
     }
@@ -147,20 +147,21 @@
     return;
   }
   engine_up_at_[agent] = clock_.Now() + down;
-  engine_ends_.push_back(clock_.Now());
+  engine_crash_times_.push_back(clock_.Now());
   MakeEngine(agent);
   const size_t index = options_.entries + agent;
   for (const auto& [run, stream] : processes_[index]->streams) {
-    ScheduleServerEnd(index, run, ServerDisconnect::kBroken);
+    ScheduleServerDisconnect(index, run, ServerDisconnect::kBroken);
   }
   processes_[index]->streams.clear();
 }
 
-void Simulation::ScheduleServerEnd(size_t index,
-                                   RunId run,
-                                   ServerDisconnect end) {
-  ScheduleIn(index, clock_.Now() + Delay(), [this, index, run, end] {
-    processes_[index]->agent->gate().server().OnServerDisconnect(run, end);
+void Simulation::ScheduleServerDisconnect(size_t index,
+                                          RunId run,
+                                          ServerDisconnect disconnect) {
+  ScheduleIn(index, clock_.Now() + Delay(), [this, index, run, disconnect] {
+    processes_[index]->agent->gate().server().OnServerDisconnect(run,
+                                                                 disconnect);
   });
 }
 
@@ -264,7 +265,7 @@
     }
     ExecuteActions(i);
     const bool done =
-        process.left &&
+        process.leaving &&
         (process.entry ? process.entry->CanExit() : process.agent->CanExit());
     if (done) {
       Kill(i, /*silently=*/false);
@@ -307,7 +308,7 @@
   process.agent.reset();
   process.streams.clear();
   process.version = 0;
-  process.left = false;
+  process.leaving = false;
   process.frozen_until = {};
   process.alive = true;
   if (process.info.role == Role::kEntry) {
@@ -339,13 +340,13 @@
     }
   }
   std::vector<CallerId> disconnected;
-  for (const auto& [caller, at] : caller_at_) {
+  for (const auto& [caller, at] : process_by_caller_) {
     if (at == index) {
       disconnected.push_back(caller);
     }
   }
   for (const CallerId caller : disconnected) {
-    caller_at_.erase(caller);
+    process_by_caller_.erase(caller);
     oracle_.OnDisconnect(caller);
   }
 }
@@ -358,17 +359,17 @@
 
 void Simulation::Leave(size_t index) {
   Process& process = *processes_[index];
-  if (!process.alive || process.left) {
+  if (!process.alive || process.leaving) {
     return;
   }
   ScheduleIn(index, clock_.Now(), [this, index] {
-    Process& leaver = *processes_[index];
-    leaver.left = true;
-    leaver.left_at = clock_.Now();
-    if (leaver.entry) {
-      leaver.entry->Leave();
+    Process& leaving_process = *processes_[index];
+    leaving_process.leaving = true;
+    leaving_process.leaving_since = clock_.Now();
+    if (leaving_process.entry) {
+      leaving_process.entry->Leave();
     } else {
-      leaver.agent->Leave();
+      leaving_process.agent->Leave();
     }
   });
 }
@@ -408,26 +409,26 @@
         Execute(index, *call,
                 clock_.Now() +
                     std::chrono::milliseconds(call->wait_ms.value_or(0)));
-      } else if (const auto* whole = std::get_if<ReplyComplete>(&action)) {
-        caller_at_.erase(whole->caller);
-        if (operator_replies_.contains(whole->caller)) {
-          operator_replies_[whole->caller] = whole->status;
+      } else if (const auto* complete = std::get_if<ReplyComplete>(&action)) {
+        process_by_caller_.erase(complete->caller);
+        if (operator_replies_.contains(complete->caller)) {
+          operator_replies_[complete->caller] = complete->status;
         } else {
-          oracle_.OnReply(*whole);
+          oracle_.OnReply(*complete);
         }
       } else if (const auto* head = std::get_if<ReplyHead>(&action)) {
         oracle_.OnReply(*head);
-      } else if (const auto* data = std::get_if<ReplyChunk>(&action)) {
-        oracle_.OnReply(*data);
+      } else if (const auto* chunk = std::get_if<ReplyChunk>(&action)) {
+        oracle_.OnReply(*chunk);
         ScheduleIn(index, clock_.Now() + Delay(),
-                   [this, index, id = data->caller] {
+                   [this, index, id = chunk->caller] {
                      processes_[index]->entry->OnCallerDrained(id);
                    });
       } else if (const auto* end = std::get_if<ReplyEnd>(&action)) {
-        caller_at_.erase(end->caller);
+        process_by_caller_.erase(end->caller);
         oracle_.OnReply(*end);
       } else if (const auto* abort = std::get_if<ReplyAbort>(&action)) {
-        caller_at_.erase(abort->caller);
+        process_by_caller_.erase(abort->caller);
         oracle_.OnReply(*abort);
       } else {
         ExecuteServerAction(index, action);
@@ -610,12 +611,13 @@
   const auto* started = std::get_if<ServerStart>(&action);
   const auto* resumed = std::get_if<ServerResume>(&action);
   if (down && (started != nullptr || resumed != nullptr)) {
-    ScheduleServerEnd(index, started != nullptr ? started->run : resumed->run,
-                      ServerDisconnect::kUnreachable);
+    ScheduleServerDisconnect(index,
+                             started != nullptr ? started->run : resumed->run,
+                             ServerDisconnect::kUnreachable);
     return;
   }
   if (resumed != nullptr && engine.Find(resumed->request_id) == nullptr) {
-    ScheduleServerEnd(index, resumed->run, ServerDisconnect::kRefused);
+    ScheduleServerDisconnect(index, resumed->run, ServerDisconnect::kRefused);
     return;
   }
   if (const auto* start = std::get_if<ServerStart>(&action)) {
@@ -714,7 +716,7 @@
                                    {"max_tokens", tokens},
                                    {"stream", HashBytes(word) % 2 == 0}});
   oracle_.OnSubmit(caller, word, repeatable, tokens);
-  caller_at_[caller] = index;
+  process_by_caller_[caller] = index;
   ScheduleIn(index, clock_.Now() + Delay(), [this, index, request] {
     processes_[index]->entry->OnCallerRequest(request);
   });
@@ -733,7 +735,7 @@
   request.method = "GET";
   request.path = "/v1/requests/" + key;
   oracle_.OnRead(caller, word);
-  caller_at_[caller] = index;
+  process_by_caller_[caller] = index;
   ScheduleIn(index, clock_.Now() + Delay(), [this, index, request] {
     processes_[index]->entry->OnCallerRequest(request);
   });
@@ -747,10 +749,10 @@
   CallerRequest request = MakeRequest(key);
   request.method = "DELETE";
   request.path = "/v1/requests/" + key;
-  SendOperator(index, request);
+  SendOperatorRequest(index, request);
 }
 
-CallerId Simulation::SendOperator(size_t index, CallerRequest request) {
+CallerId Simulation::SendOperatorRequest(size_t index, CallerRequest request) {
   const CallerId caller = ++last_caller_;
   request.caller = caller;
   if (!alive(index)) {
@@ -769,7 +771,7 @@
   request.path = "/admin/v1/config";
   request.bearer = kOperatorKey;
   request.body = ConfigText(marker);
-  return SendOperator(index, request);
+  return SendOperatorRequest(index, request);
 }
 
 CallerId Simulation::UsePreset(size_t index, const std::string& preset) {
@@ -778,7 +780,7 @@
   request.path = "/admin/v1/preset";
   request.bearer = kOperatorKey;
   request.body = json::serialize(json::object{{"name", preset}});
-  return SendOperator(index, request);
+  return SendOperatorRequest(index, request);
 }
 
 }  // namespace lavenderkeel::fuzz
--- a/test/fuzz/world.h
+++ b/test/fuzz/simulation.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_TEST_FUZZ_WORLD_H_
-#define LAVENDERKEEL_TEST_FUZZ_WORLD_H_
+#ifndef LAVENDERKEEL_TEST_FUZZ_SIMULATION_H_
+#define LAVENDERKEEL_TEST_FUZZ_SIMULATION_H_
 
 #include <functional>
 #include <map>
@@ -43,6 +43,9 @@
   void RunFor(Duration duration);
   /// @return true once the condition holds, false after `timeout`
   bool RunUntil(const std::function<bool()>& condition, Duration timeout);
+  /// Submits a request through an entry.
+  ///
+  /// @param word the first word of the prompt, which identifies the request
   CallerId Submit(size_t entry,
                   const std::string& key,
                   const std::string& word,
@@ -52,34 +55,40 @@
   CallerId Read(size_t entry, const std::string& key, const std::string& word);
   void Delete(size_t entry, const std::string& key);
   std::string NewKey();
-  /// @return the caller whose reply tells whether the change was accepted
+  /// Submits a configuration document.
+  ///
+  /// @param marker name of an additional model, which distinguishes documents
+  /// @return the caller whose reply states whether the change was accepted
   CallerId Apply(size_t entry, const std::string& marker);
   CallerId UsePreset(size_t entry, const std::string& preset);
   /// Ends a process.
   ///
-  /// @param silently whether its peers get no notice that their links have
-  /// closed
+  /// @param silently whether the peers of the process get no notice that their
+  ///     links have closed
   void Kill(size_t process, bool silently);
   void Restart(size_t process);
   void Freeze(size_t process, Duration duration);
   void Leave(size_t process);
-  /// Stalls every open connection between the two processes without an error.
-  /// New connections work.
+  /// Stalls every open connection between the two processes, without an error
+  /// at either end. New connections work.
   void StallLinks(size_t a, size_t b);
   /// Blocks all connections between the two processes until Heal().
   void Partition(size_t a, size_t b);
   void Heal();
   /// Stalls the streams from an agent's engine to the agent.
   ///
-  /// @param silently whether the agent gets no notice that they have ended
+  /// @param silently whether the agent gets no notice that the streams have
+  ///     ended
   void BreakServerStreams(size_t agent, bool silently);
-  /// Makes engines crash soon after they start a prompt that begins with this
-  /// word.
+  /// Makes every engine crash soon after it starts a prompt that begins with
+  /// this word.
   void SetCrashing(const std::string& word) { crashing_words_.insert(word); }
   /// Crashes the engine, which loses its streams and restarts after `down`.
   void CrashEngine(size_t agent, Duration down);
   /// Times of the engines' crashes, in ascending order.
-  const std::vector<TimePoint>& engine_ends() const { return engine_ends_; }
+  const std::vector<TimePoint>& engine_crash_times() const {
+    return engine_crash_times_;
+  }
 
   size_t entries() const { return options_.entries; }
   size_t processes() const { return processes_.size(); }
@@ -110,7 +119,7 @@
 
   void Schedule(TimePoint when, std::function<void()> task);
   /// Schedules a task in a process. The task is dropped if the process ends
-  /// before, and delayed while the process is frozen.
+  /// first, and delayed while the process is frozen.
   void ScheduleIn(size_t process, TimePoint when, std::function<void()> task);
   void TickAll();
   void ExecuteActions(size_t process);
@@ -129,10 +138,12 @@
                            const PlatformReply& reply);
   void CheckVersions(size_t process);
   void MakeEngine(size_t agent);
-  void ScheduleServerEnd(size_t process, RunId run, ServerDisconnect end);
+  void ScheduleServerDisconnect(size_t process,
+                                RunId run,
+                                ServerDisconnect disconnect);
   Duration Delay();
   CallerRequest MakeRequest(const std::string& key) const;
-  CallerId SendOperator(size_t entry, CallerRequest request);
+  CallerId SendOperatorRequest(size_t entry, CallerRequest request);
 
   Options options_;
   VirtualClock clock_;
@@ -143,7 +154,7 @@
   std::vector<std::unique_ptr<Process>> processes_;
   std::vector<std::unique_ptr<fakes::EngineCore>> engines_;
   std::vector<TimePoint> engine_up_at_;
-  std::vector<TimePoint> engine_ends_;
+  std::vector<TimePoint> engine_crash_times_;
   std::set<std::string> crashing_words_;
   std::map<LinkId, std::unique_ptr<PeerLink>> links_;
   std::set<std::pair<size_t, size_t>> partitions_;
@@ -154,10 +165,10 @@
   uint64_t last_incarnation_ = 0;
   TimePoint next_tick_;
   uint64_t platform_calls_ = 0;
-  std::map<CallerId, size_t> caller_at_;
+  std::map<CallerId, size_t> process_by_caller_;
   std::map<CallerId, int> operator_replies_;
 };
 
 }  // namespace lavenderkeel::fuzz
 
-#endif  // LAVENDERKEEL_TEST_FUZZ_WORLD_H_
+#endif  // LAVENDERKEEL_TEST_FUZZ_SIMULATION_H_
--- a/test/fuzz/step.h
+++ b/test/fuzz/step.h
@@ -8,8 +8,8 @@
 
 namespace lavenderkeel::fuzz {
 
-/// Step of a fuzzing sequence: an action, and the time for which the simulation
-/// then runs.
+/// Step of a fuzzing sequence: an action, followed by a run of the simulation
+/// for `wait_ms`.
 struct Step {
   enum Kind : uint8_t {
     kSubmit,
@@ -18,10 +18,12 @@
     kRead,
     kDelete,
     kKill,
+    /// Ends a process; its peers get no notice.
     kKillSilently,
     kRestart,
     kFreeze,
     kLeave,
+    /// Stalls the open links between two processes.
     kSilence,
     kPartition,
     kHeal,
@@ -31,14 +33,17 @@
     kApply,
     kPreset,
     kBreakStreams,
+    /// Stalls the streams of an engine; its agent gets no notice.
     kSilenceStreams,
     kSlowEngine,
     kBurst,
+    /// Ends and restarts a process at once.
     kCrash,
     kWait,
     kCrashEngine,
     /// Number of kinds that AnyStep generates.
     kGeneratedKinds,
+    /// Submits one key to all entries at once.
     kSubmitEverywhere = kGeneratedKinds,
     kAllKinds,
   };
@@ -60,7 +65,8 @@
 /// checks recovery.
 ///
 /// With FUZZ_LOG set, the log of all components goes to standard error; with
-/// FUZZ_VERBOSE, the number of outcomes per result code.
+/// FUZZ_VERBOSE, the number of outcomes per result code does.
+///
 /// @return the first violated guarantee; empty if all hold
 std::string RunSteps(uint64_t seed, const std::vector<Step>& steps);
 
--- a/test/process/cluster.cc
+++ b/test/process/cluster.cc
@@ -87,7 +87,7 @@
       {"data_centre", index % 2 == 0 ? "govan" : "dundee"},
       {"listen",
        json::object{{"callers", "127.0.0.1:0"}, {"peers", "127.0.0.1:0"}}},
-      {"platform", Platform()},
+      {"platform", PlatformAddress()},
       {"seeds", seed.empty() ? json::array() : json::array{seed}},
       {"operator_key_sha256", Sha256Hex(kOperatorKey)},
       {"tuning", tuning}});
@@ -109,15 +109,16 @@
       {"instance", name},
       {"data_centre", index % 2 == 0 ? "govan" : "dundee"},
       {"listen", listen},
-      {"server", json::object{{"kind", "engine"}, {"address", Engine(index)}}},
-      {"platform", Platform()},
+      {"server",
+       json::object{{"kind", "engine"}, {"address", EngineAddress(index)}}},
+      {"platform", PlatformAddress()},
       {"tuning", json::parse("{" + options_.agent_tuning + "}")}});
   processes_.Spawn(
       name,
       {std::string(LAVENDERKEEL_BINARY_DIR) + "/lavenderkeel-agent",
        "--settings=" + settings, "--ready_file=" + processes_.ReadyFile(name)});
   WaitReadyFile(name);
-  relays_[index]->set_target(address(name, "peers"));
+  relays_[index]->set_target(Address(name, "peers"));
 }
 
 void Cluster::Signal(const std::string& name, int signal) {
@@ -137,8 +138,8 @@
   return status.value_or(-1);
 }
 
-bool Cluster::Running(const std::string& name) const {
-  return processes_.Running(name);
+bool Cluster::IsRunning(const std::string& name) const {
+  return processes_.IsRunning(name);
 }
 
 bool Cluster::Wait(const std::function<bool()>& condition) {
@@ -152,7 +153,7 @@
   return true;
 }
 
-std::string Cluster::address(const std::string& name,
+std::string Cluster::Address(const std::string& name,
                              const std::string& port) const {
   return processes_.Address(name, port);
 }
@@ -179,15 +180,15 @@
   return exchange;
 }
 
-std::shared_ptr<Exchange> Cluster::Ask(size_t entry,
-                                       const std::string& key,
-                                       const std::string& work,
-                                       int tokens,
-                                       bool stream,
-                                       const std::string& prompt,
-                                       Duration deadline) {
+std::shared_ptr<Exchange> Cluster::SubmitRequest(size_t entry,
+                                                 const std::string& key,
+                                                 const std::string& work,
+                                                 int tokens,
+                                                 bool stream,
+                                                 const std::string& prompt,
+                                                 Duration deadline) {
   HttpClient::Call call{
-      .address = Entry(entry),
+      .address = EntryAddress(entry),
       .method = "POST",
       .path = "/v1/completions",
       .headers = {{"Authorization", std::string("Bearer ") + kTeamKey},
@@ -225,12 +226,13 @@
                           const std::string& method,
                           const std::string& path,
                           const std::string& body) {
-  return Call(Entry(entry), method, path, body, kOperatorKey);
+  return Call(EntryAddress(entry), method, path, body, kOperatorKey);
 }
 
 bool Cluster::WaitReady(size_t entry) {
-  return Wait(
-      [&] { return Call(Entry(entry), "GET", "/readyz").status == 200; });
+  return Wait([&] {
+    return Call(EntryAddress(entry), "GET", "/readyz").status == 200;
+  });
 }
 
 bool Cluster::WaitLinked() {
@@ -253,8 +255,8 @@
 uint64_t Cluster::Starts() {
   uint64_t starts = 0;
   for (size_t i = 0; i < options_.agents; ++i) {
-    starts += std::strtoull(Call(Engine(i), "GET", "/starts").body.c_str(),
-                            nullptr, 10);
+    starts += std::strtoull(
+        Call(EngineAddress(i), "GET", "/starts").body.c_str(), nullptr, 10);
   }
   return starts;
 }
--- a/test/process/cluster.h
+++ b/test/process/cluster.h
@@ -54,7 +54,7 @@
   /// @return the exit status; minus the signal that killed the process, if one
   ///     did
   int Join(const std::string& name);
-  bool Running(const std::string& name) const;
+  bool IsRunning(const std::string& name) const;
   pid_t Pid(const std::string& name) const { return processes_.Pid(name); }
 
   std::string NewKey();
@@ -63,20 +63,23 @@
   /// @param key the request key; if empty, the entry generates one
   /// @param work the work class
   /// @param deadline zero for none
-  std::shared_ptr<Exchange> Ask(size_t entry,
-                                const std::string& key,
-                                const std::string& work,
-                                int tokens,
-                                bool stream = false,
-                                const std::string& prompt = "Letter one",
-                                Duration deadline = Duration::zero());
+  std::shared_ptr<Exchange> SubmitRequest(
+      size_t entry,
+      const std::string& key,
+      const std::string& work,
+      int tokens,
+      bool stream = false,
+      const std::string& prompt = "Letter one",
+      Duration deadline = Duration::zero());
   /// @param stream whether to collect the body as it arrives
   std::shared_ptr<Exchange> Send(HttpClient::Call call, bool stream = false);
+  /// Sends a request and waits for its result.
   HttpResult Call(const std::string& address,
                   const std::string& method,
                   const std::string& path,
                   const std::string& body = "",
                   const std::string& bearer = "");
+  /// Sends an operator's request and waits for its result.
   HttpResult Admin(size_t entry,
                    const std::string& method,
                    const std::string& path,
@@ -89,14 +92,15 @@
   /// Waits until each entry has a live link to every other entry and agent.
   bool WaitLinked();
 
-  std::string Entry(size_t index) const {
-    return address("entry-" + std::to_string(index), "callers");
+  std::string EntryAddress(size_t index) const {
+    return Address("entry-" + std::to_string(index), "callers");
   }
-  std::string Engine(size_t index) const {
-    return address("engine-" + std::to_string(index), "http");
+  std::string EngineAddress(size_t index) const {
+    return Address("engine-" + std::to_string(index), "http");
   }
-  std::string Platform() const { return address("platform", "http"); }
-  std::string address(const std::string& name, const std::string& port) const;
+  std::string PlatformAddress() const { return Address("platform", "http"); }
+  /// Returns the address of a port of a process.
+  std::string Address(const std::string& name, const std::string& port) const;
   /// Number of requests that the engines have started.
   uint64_t Starts();
   /// Version of the configuration in force at the entry.
@@ -106,7 +110,7 @@
   EventLoop& loop() { return loop_; }
   /// Returns a configuration document.
   ///
-  /// @param marker name of an additional model, which tells documents apart
+  /// @param marker name of an additional model, which distinguishes documents
   static std::string ConfigText(const std::string& marker);
 
  private:
--- a/test/process/configuration_test.cc
+++ b/test/process/configuration_test.cc
@@ -20,7 +20,7 @@
 BOOST_AUTO_TEST_CASE(PlatformDownRightAfterAcceptance) {
   Cluster cluster({.entries = 3, .agents = 1});
   BOOST_TEST(UsePreset(cluster, 0, "peak").status == 200);
-  cluster.Call(cluster.Platform(), "POST", "/fault/outage");
+  cluster.Call(cluster.PlatformAddress(), "POST", "/fault/outage");
   for (size_t i = 0; i < 3; ++i) {
     BOOST_TEST(cluster.Wait([&] { return cluster.VersionAt(i) == 2; }));
   }
@@ -30,14 +30,14 @@
 // requests are still served. The same change is accepted after recovery.
 BOOST_AUTO_TEST_CASE(PlatformDownForLong) {
   Cluster cluster({.entries = 1, .agents = 1});
-  cluster.Call(cluster.Platform(), "POST", "/fault/outage");
+  cluster.Call(cluster.PlatformAddress(), "POST", "/fault/outage");
   const HttpResult refused = UsePreset(cluster, 0, "peak");
   BOOST_TEST(refused.status == 503);
   BOOST_TEST(refused.body.find("config_not_accepted") != std::string::npos);
-  const auto check = cluster.Ask(0, cluster.NewKey(), "check", 5);
+  const auto check = cluster.SubmitRequest(0, cluster.NewKey(), "check", 5);
   BOOST_REQUIRE(cluster.Wait([&] { return check->done; }));
   BOOST_TEST(check->result.status == 200);
-  cluster.Call(cluster.Platform(), "POST", "/fault/up");
+  cluster.Call(cluster.PlatformAddress(), "POST", "/fault/up");
   BOOST_TEST(UsePreset(cluster, 0, "peak").status == 200);
 }
 
@@ -45,9 +45,9 @@
 // the head, finds its own change id there and reports the change as accepted.
 BOOST_AUTO_TEST_CASE(AnswerLostAfterTheWrite) {
   Cluster cluster({.entries = 2, .agents = 1});
-  cluster.Call(cluster.Platform(), "POST", "/fault/lose");
+  cluster.Call(cluster.PlatformAddress(), "POST", "/fault/lose");
   BOOST_TEST(UsePreset(cluster, 0, "peak").status == 200);
-  cluster.Call(cluster.Platform(), "POST", "/fault/up");
+  cluster.Call(cluster.PlatformAddress(), "POST", "/fault/up");
   BOOST_TEST(cluster.Wait([&] { return cluster.VersionAt(1) == 2; }));
 }
 
@@ -55,9 +55,9 @@
 // a slow platform. One change is accepted, the other fails with a conflict.
 BOOST_AUTO_TEST_CASE(TwoOperatorsRace) {
   Cluster cluster({.entries = 2, .agents = 1});
-  cluster.Call(cluster.Platform(), "POST", "/fault/slow?ms=200");
+  cluster.Call(cluster.PlatformAddress(), "POST", "/fault/slow?ms=200");
   const auto change = [&](size_t entry, const std::string& name) {
-    return cluster.Send({.address = cluster.Entry(entry),
+    return cluster.Send({.address = cluster.EntryAddress(entry),
                          .method = "POST",
                          .path = "/admin/v1/preset",
                          .headers = {{"Authorization", "Bearer operator-key"}},
@@ -79,8 +79,8 @@
   Cluster cluster({.entries = 2, .agents = 1});
   BOOST_TEST(UsePreset(cluster, 0, "peak").status == 200);
   BOOST_REQUIRE(cluster.Wait([&] { return cluster.VersionAt(1) == 2; }));
-  const std::string peer = cluster.address("entry-0", "peers");
-  cluster.Call(cluster.Platform(), "POST", "/fault/outage");
+  const std::string peer = cluster.Address("entry-0", "peers");
+  cluster.Call(cluster.PlatformAddress(), "POST", "/fault/outage");
   cluster.Signal("entry-1", SIGKILL);
   cluster.StartEntry(1, peer);
   BOOST_REQUIRE(cluster.Wait([&] { return cluster.VersionAt(1) == 2; }));
@@ -93,18 +93,18 @@
   Cluster cluster({.entries = 1, .agents = 2});
   const std::string body = R"({"name": "agent-0"})";
   const auto starts_at_first = [&] {
-    return cluster.Call(cluster.Engine(0), "GET", "/starts").body;
+    return cluster.Call(cluster.EngineAddress(0), "GET", "/starts").body;
   };
   BOOST_TEST(cluster.Admin(0, "POST", "/admin/v1/drain", body).status == 200);
   for (int i = 0; i < 10; ++i) {
-    const auto check = cluster.Ask(0, cluster.NewKey(), "check", 2);
+    const auto check = cluster.SubmitRequest(0, cluster.NewKey(), "check", 2);
     BOOST_REQUIRE(cluster.Wait([&] { return check->done; }));
     BOOST_TEST(check->result.status == 200);
   }
   BOOST_TEST(starts_at_first() == "0");
   BOOST_TEST(cluster.Admin(0, "POST", "/admin/v1/undrain", body).status == 200);
   BOOST_TEST(cluster.Wait([&] {
-    const auto check = cluster.Ask(0, cluster.NewKey(), "check", 2);
+    const auto check = cluster.SubmitRequest(0, cluster.NewKey(), "check", 2);
     cluster.Wait([&] { return check->done; });
     return starts_at_first() != "0";
   }));
--- a/test/process/failure_test.cc
+++ b/test/process/failure_test.cc
@@ -21,17 +21,19 @@
 
 // A caller's entry is killed while its request runs. The caller's connection
 // breaks, and the caller retries the same key at another entry. That entry
-// finds the claim of the dead owner, queries the claim's agents and streams the
-// answer from its start: complete, with a single start at the engines.
+// finds the claim of the killed owner, queries the claim's agents and streams
+// the answer from its start: complete, with a single start at the engines.
 BOOST_AUTO_TEST_CASE(EntryKilledWhileRequestRuns) {
   Cluster cluster({.step_ms = 40});
   const std::string key = cluster.NewKey();
-  const auto first = cluster.Ask(0, key, "check", 60, /*stream=*/true);
+  const auto first =
+      cluster.SubmitRequest(0, key, "check", 60, /*stream=*/true);
   BOOST_REQUIRE(cluster.Wait([&] { return !first->stream.empty(); }));
   cluster.Signal("entry-0", SIGKILL);
   BOOST_REQUIRE(cluster.Wait([&] { return first->done; }));
   BOOST_TEST(!first->IsComplete());
-  const auto retry = cluster.Ask(1, key, "check", 60, /*stream=*/true);
+  const auto retry =
+      cluster.SubmitRequest(1, key, "check", 60, /*stream=*/true);
   BOOST_REQUIRE(cluster.Wait([&] { return retry->done; }));
   BOOST_TEST(retry->IsComplete());
   BOOST_TEST(cluster.Starts() == 1U);
@@ -45,16 +47,16 @@
       {.agents = 1,
        .step_ms = 20,
        .agent_tuning = R"("first_in_flight": 1, "most_in_flight": 1)"});
-  const auto busy = cluster.Ask(1, "", "check", 100, true);
-  const auto ahead = cluster.Ask(1, "", "check", 10, true);
+  const auto busy = cluster.SubmitRequest(1, "", "check", 100, true);
+  const auto ahead = cluster.SubmitRequest(1, "", "check", 10, true);
   BOOST_REQUIRE(cluster.Wait([&] { return !busy->stream.empty(); }));
   const std::string key = cluster.NewKey();
-  const auto waiting = cluster.Ask(0, key, "check", 10);
+  const auto waiting = cluster.SubmitRequest(0, key, "check", 10);
   BOOST_REQUIRE(cluster.Wait([&] {
     return cluster.Log("entry-0").find("event=route") != std::string::npos;
   }));
   cluster.Signal("entry-0", SIGKILL);
-  const auto retry = cluster.Ask(1, key, "check", 10);
+  const auto retry = cluster.SubmitRequest(1, key, "check", 10);
   BOOST_REQUIRE(cluster.Wait([&] { return retry->done && ahead->done; }));
   BOOST_TEST(retry->result.status == 200);
   BOOST_TEST(BodyContains(*retry, kCompleteAnswer));
@@ -69,8 +71,8 @@
                    .agents = 1,
                    .step_ms = 20,
                    .entry_tuning = R"("server_patience_ms": 1000)"});
-  const auto check = cluster.Ask(0, cluster.NewKey(), "check", 400);
-  const auto lookup = cluster.Ask(0, cluster.NewKey(), "lookup", 10);
+  const auto check = cluster.SubmitRequest(0, cluster.NewKey(), "check", 400);
+  const auto lookup = cluster.SubmitRequest(0, cluster.NewKey(), "lookup", 10);
   BOOST_REQUIRE(cluster.Wait([&] { return cluster.Starts() == 2; }));
   cluster.Signal("agent-0", SIGKILL);
   cluster.StartAgent(0);
@@ -90,7 +92,8 @@
                    .agents = 1,
                    .step_ms = 20,
                    .entry_tuning = R"("server_patience_ms": 60000)"});
-  const auto check = cluster.Ask(0, cluster.NewKey(), "check", 50, true);
+  const auto check =
+      cluster.SubmitRequest(0, cluster.NewKey(), "check", 50, true);
   BOOST_REQUIRE(cluster.Wait([&] { return !check->stream.empty(); }));
   cluster.Signal("agent-0", SIGSTOP);
   BOOST_REQUIRE(cluster.Wait([&] {
@@ -109,22 +112,22 @@
 
 // An entry is frozen while its request waits. The retry at another entry seals
 // the key at the agents and runs the request. The first entry resumes and still
-// tries to send it; the agents refuse, so there is one start.
+// tries to send the request; the agents refuse it, so there is one start.
 BOOST_AUTO_TEST_CASE(EntryFrozenWhileRequestWaits) {
   Cluster cluster(
       {.agents = 1,
        .step_ms = 20,
        .agent_tuning = R"("first_in_flight": 1, "most_in_flight": 1)"});
-  const auto busy = cluster.Ask(1, "", "check", 250, true);
-  const auto ahead = cluster.Ask(1, "", "check", 10, true);
+  const auto busy = cluster.SubmitRequest(1, "", "check", 250, true);
+  const auto ahead = cluster.SubmitRequest(1, "", "check", 10, true);
   BOOST_REQUIRE(cluster.Wait([&] { return !busy->stream.empty(); }));
   const std::string key = cluster.NewKey();
-  const auto frozen = cluster.Ask(0, key, "check", 10);
+  const auto frozen = cluster.SubmitRequest(0, key, "check", 10);
   BOOST_REQUIRE(cluster.Wait([&] {
     return cluster.Log("entry-0").find("event=route") != std::string::npos;
   }));
   cluster.Signal("entry-0", SIGSTOP);
-  const auto retry = cluster.Ask(1, key, "check", 10);
+  const auto retry = cluster.SubmitRequest(1, key, "check", 10);
   BOOST_REQUIRE(cluster.Wait([&] { return retry->done; }));
   cluster.Signal("entry-0", SIGCONT);
   BOOST_REQUIRE(cluster.Wait([&] { return frozen->done && ahead->done; }));
@@ -142,7 +145,8 @@
                    .step_ms = 20,
                    .relayed = true,
                    .entry_tuning = R"("server_patience_ms": 60000)"});
-  const auto check = cluster.Ask(0, cluster.NewKey(), "check", 300, true);
+  const auto check =
+      cluster.SubmitRequest(0, cluster.NewKey(), "check", 300, true);
   BOOST_REQUIRE(cluster.Wait([&] { return !check->stream.empty(); }));
   cluster.relay(0).StallOpenConnections();
   BOOST_REQUIRE(cluster.Wait([&] { return check->done; }));
@@ -156,14 +160,15 @@
   Cluster cluster({.entries = 1,
                    .agents = 1,
                    .agent_tuning = R"("stream_silence_ms": 300)"});
-  const auto check = cluster.Ask(0, cluster.NewKey(), "check", 200, true);
+  const auto check =
+      cluster.SubmitRequest(0, cluster.NewKey(), "check", 200, true);
   BOOST_REQUIRE(cluster.Wait([&] { return !check->stream.empty(); }));
-  cluster.Call(cluster.Engine(0), "POST", "/fault/silence");
+  cluster.Call(cluster.EngineAddress(0), "POST", "/fault/silence");
   BOOST_REQUIRE(cluster.Wait([&] {
     const std::string log = cluster.Log("agent-0");
     return log.find("event=stream_resumed") != std::string::npos;
   }));
-  cluster.Call(cluster.Engine(0), "POST", "/fault/up");
+  cluster.Call(cluster.EngineAddress(0), "POST", "/fault/up");
   BOOST_REQUIRE(cluster.Wait([&] { return check->done; }));
   BOOST_TEST(check->IsComplete());
   BOOST_TEST(cluster.Starts() == 1U);
@@ -173,11 +178,11 @@
 // go to the other engine once the slots of the slow one are full.
 BOOST_AUTO_TEST_CASE(EngineSlowedTenfold) {
   Cluster cluster({.entries = 1, .agents = 2});
-  cluster.Call(cluster.Engine(0), "POST", "/fault/speed?factor=0.1");
+  cluster.Call(cluster.EngineAddress(0), "POST", "/fault/speed?factor=0.1");
   std::vector<std::shared_ptr<Exchange>> checks;
   checks.reserve(60);
   for (int i = 0; i < 60; ++i) {
-    checks.push_back(cluster.Ask(0, cluster.NewKey(), "check", 10));
+    checks.push_back(cluster.SubmitRequest(0, cluster.NewKey(), "check", 10));
   }
   for (const auto& check : checks) {
     BOOST_REQUIRE(cluster.Wait([&] { return check->done; }));
@@ -197,7 +202,8 @@
   std::vector<std::shared_ptr<Exchange>> checks;
   for (int i = 0; i < 40; ++i) {
     keys.push_back(cluster.NewKey());
-    checks.push_back(cluster.Ask(i % 2, keys[i], "check", 40, i % 3 == 0));
+    checks.push_back(
+        cluster.SubmitRequest(i % 2, keys[i], "check", 40, i % 3 == 0));
   }
   BOOST_REQUIRE(cluster.Wait([&] { return cluster.Starts() > 8; }));
   cluster.Signal("entry-1", SIGTERM);
@@ -210,7 +216,7 @@
         (result.status == 503 &&
          result.body.find("\"name\":\"leaving\"") != std::string::npos);
     if (arrived_after_stop) {
-      checks[i] = cluster.Ask(0, keys[i], "check", 40, i % 3 == 0);
+      checks[i] = cluster.SubmitRequest(0, keys[i], "check", 40, i % 3 == 0);
       BOOST_REQUIRE(cluster.Wait([&] { return checks[i]->done; }));
     }
     BOOST_TEST(checks[i]->IsComplete(),
@@ -221,7 +227,8 @@
   BOOST_TEST(cluster.Join("entry-1") == 0);
   BOOST_TEST(cluster.Join("agent-1") == 0);
   BOOST_TEST(cluster.Starts() == 40U);
-  BOOST_TEST(cluster.Call(cluster.Entry(0), "GET", "/readyz").status == 200);
+  BOOST_TEST(cluster.Call(cluster.EntryAddress(0), "GET", "/readyz").status ==
+             200);
 }
 
 // Ten times the capacity of the servers arrives at once, checks and lookups
@@ -234,8 +241,8 @@
   std::vector<std::shared_ptr<Exchange>> lookups;
   for (int i = 0; i < 200; ++i) {
     auto& list = i % 4 == 0 ? checks : lookups;
-    list.push_back(cluster.Ask(i % 2, cluster.NewKey(),
-                               i % 4 == 0 ? "check" : "lookup", 10));
+    list.push_back(cluster.SubmitRequest(i % 2, cluster.NewKey(),
+                                         i % 4 == 0 ? "check" : "lookup", 10));
   }
   for (const auto& check : checks) {
     BOOST_REQUIRE(cluster.Wait([&] { return check->done; }));
@@ -252,15 +259,16 @@
 }
 
 // Two simultaneous failures: an entry is killed while the platform is down. The
-// retry of its request depends on neither.
+// retry of its request at another entry needs neither of them, and the request
+// runs once.
 BOOST_AUTO_TEST_CASE(EntryKilledWhilePlatformIsDown) {
   Cluster cluster({.step_ms = 20});
-  cluster.Call(cluster.Platform(), "POST", "/fault/outage");
+  cluster.Call(cluster.PlatformAddress(), "POST", "/fault/outage");
   const std::string key = cluster.NewKey();
-  const auto first = cluster.Ask(0, key, "check", 60, true);
+  const auto first = cluster.SubmitRequest(0, key, "check", 60, true);
   BOOST_REQUIRE(cluster.Wait([&] { return !first->stream.empty(); }));
   cluster.Signal("entry-0", SIGKILL);
-  const auto retry = cluster.Ask(1, key, "check", 60, true);
+  const auto retry = cluster.SubmitRequest(1, key, "check", 60, true);
   BOOST_REQUIRE(cluster.Wait([&] { return retry->done; }));
   BOOST_TEST(retry->IsComplete());
   BOOST_TEST(cluster.Starts() == 1U);
@@ -268,8 +276,8 @@
 
 // One of three entries is killed and not replaced. Callers send new keys to the
 // other two, immediately and after the loss has been detected. Two keys in
-// three have the dead entry among their holders; the platform decides these, so
-// that each request is answered and runs once.
+// three have the killed entry among their holders; the platform decides these,
+// so that each request is answered and runs once.
 BOOST_AUTO_TEST_CASE(NewKeysAfterAnEntryIsKilledAndNotReplaced) {
   constexpr size_t kKeys = 80;
   Cluster cluster({.entries = 3, .agents = 2});
@@ -277,8 +285,8 @@
   std::vector<std::shared_ptr<Exchange>> exchanges;
   const auto submit_all = [&] {
     for (size_t i = 0; i < kKeys; ++i) {
-      exchanges.push_back(
-          cluster.Ask(i % 2 == 0 ? 0 : 2, cluster.NewKey(), "check", 3));
+      exchanges.push_back(cluster.SubmitRequest(i % 2 == 0 ? 0 : 2,
+                                                cluster.NewKey(), "check", 3));
     }
     BOOST_REQUIRE(cluster.Wait([&] {
       return std::ranges::all_of(exchanges,
--- a/test/process/hostile_input_test.cc
+++ b/test/process/hostile_input_test.cc
@@ -41,11 +41,11 @@
 }
 
 void CheckServesRequests(Cluster& cluster) {
-  const auto check = cluster.Ask(0, cluster.NewKey(), "check", 5);
+  const auto check = cluster.SubmitRequest(0, cluster.NewKey(), "check", 5);
   BOOST_REQUIRE(cluster.Wait([&] { return check->done; }));
   BOOST_TEST(check->result.status == 200);
-  BOOST_TEST(cluster.Running("entry-0"));
-  BOOST_TEST(cluster.Running("agent-0"));
+  BOOST_TEST(cluster.IsRunning("entry-0"));
+  BOOST_TEST(cluster.IsRunning("agent-0"));
 }
 
 }  // namespace
@@ -56,9 +56,9 @@
   PrepareProcess();
   Cluster cluster({.entries = 1, .agents = 1});
   std::mt19937_64 random(7);
-  const std::vector<std::string> ports = {cluster.address("entry-0", "peers"),
-                                          cluster.address("agent-0", "peers"),
-                                          cluster.Entry(0)};
+  const std::vector<std::string> ports = {cluster.Address("entry-0", "peers"),
+                                          cluster.Address("agent-0", "peers"),
+                                          cluster.EntryAddress(0)};
   for (const std::string& port : ports) {
     for (int i = 0; i < 100; ++i) {
       SendRaw(port, Garbage(random, random() % 300));
@@ -67,10 +67,10 @@
     SendRaw(port, std::string("\x40\x00\x00\x00", 4) + Garbage(random, 64));
     SendRaw(port, std::string("\x40\x00\x00\x00", 4) + Garbage(random, 10));
   }
-  SendRaw(cluster.Entry(0),
+  SendRaw(cluster.EntryAddress(0),
           "POST /v1/completions HTTP/1.1\r\n"
           "Content-Length: 99999999999\r\n\r\n");
-  SendRaw(cluster.Entry(0),
+  SendRaw(cluster.EntryAddress(0),
           "GET / HTTP/1.1\r\nX: " + std::string(200'000, 'x') + "\r\n\r\n");
   CheckServesRequests(cluster);
 }
@@ -84,10 +84,10 @@
   constexpr int kConnections = 5000;
   std::vector<int> sockets;
   for (int i = 0; i < kConnections; ++i) {
-    sockets.push_back(Connect(cluster.Entry(0)));
-    sockets.push_back(Connect(cluster.address("entry-0", "peers")));
+    sockets.push_back(Connect(cluster.EntryAddress(0)));
+    sockets.push_back(Connect(cluster.Address("entry-0", "peers")));
     if (i % 100 == 0) {
-      cluster.Call(cluster.Entry(0), "GET", "/healthz");
+      cluster.Call(cluster.EntryAddress(0), "GET", "/healthz");
     }
   }
   CheckServesRequests(cluster);
@@ -126,7 +126,7 @@
       {good, "lookup", "", "", "other-key", 400, "1004"},
   };
   for (const Case& bad : cases) {
-    HttpClient::Call call{.address = cluster.Entry(0),
+    HttpClient::Call call{.address = cluster.EntryAddress(0),
                           .method = "POST",
                           .path = "/v1/completions",
                           .headers = {{"Authorization", "Bearer " + bad.bearer},
@@ -153,10 +153,10 @@
 BOOST_AUTO_TEST_CASE(TeamsAndOperatorsAreIsolated) {
   Cluster cluster({.entries = 1, .agents = 1});
   const std::string key = cluster.NewKey();
-  const auto check = cluster.Ask(0, key, "check", 5);
+  const auto check = cluster.SubmitRequest(0, key, "check", 5);
   BOOST_REQUIRE(cluster.Wait([&] { return check->done; }));
   const std::string path = "/v1/requests/" + key;
-  const std::string entry = cluster.Entry(0);
+  const std::string entry = cluster.EntryAddress(0);
   BOOST_TEST(cluster.Call(entry, "GET", path, "", "board-key").status == 200);
   BOOST_TEST(cluster.Call(entry, "GET", path, "", "other-key").status == 404);
   BOOST_TEST(cluster.Call(entry, "DELETE", path, "", "other-key").status ==
--- a/test/process/load_test.cc
+++ b/test/process/load_test.cc
@@ -35,11 +35,11 @@
   constexpr int kTokens = 100;
   constexpr size_t kChecks = 30;
   Cluster cluster({.entries = 2, .agents = 3, .step_ms = 4});
-  cluster.Call(cluster.Engine(2), "POST", "/fault/speed?factor=0.5");
+  cluster.Call(cluster.EngineAddress(2), "POST", "/fault/speed?factor=0.5");
   Exchanges lookups;
   for (size_t i = 0; i < kLookups; ++i) {
     lookups.push_back(
-        cluster.Ask(i % 2, "", "lookup", kTokens, /*stream=*/true));
+        cluster.SubmitRequest(i % 2, "", "lookup", kTokens, /*stream=*/true));
   }
   BOOST_REQUIRE(cluster.Wait([&] {
     return std::ranges::count_if(lookups, [](const auto& lookup) {
@@ -48,14 +48,14 @@
   }));
   Exchanges checks;
   for (size_t i = 0; i < kChecks; ++i) {
-    checks.push_back(cluster.Ask(i % 2, cluster.NewKey(), "check", 5,
-                                 /*stream=*/false, "Letter one",
-                                 std::chrono::seconds(4)));
+    checks.push_back(cluster.SubmitRequest(i % 2, cluster.NewKey(), "check", 5,
+                                           /*stream=*/false, "Letter one",
+                                           std::chrono::seconds(4)));
   }
   BOOST_TEST(cluster.Wait([&] { return CountDone(checks) == kChecks; }));
   BOOST_TEST(cluster.Wait([&] { return CountDone(lookups) == kLookups; }));
-  BOOST_TEST(cluster.Running("entry-0"));
-  BOOST_TEST(cluster.Running("entry-1"));
+  BOOST_TEST(cluster.IsRunning("entry-0"));
+  BOOST_TEST(cluster.IsRunning("entry-1"));
   BOOST_TEST(CountWithoutReply(checks) == 0U);
   for (const auto& check : checks) {
     BOOST_TEST(check->result.status != 504);
@@ -67,8 +67,8 @@
   }
 }
 
-// Guards against a repeatedly submitted poison lookup that crashes one engine
-// after the other, and with them the lookups that run beside it.
+// Guards against a repeatedly submitted lookup that crashes one engine after
+// the other, and with each engine the lookups that it runs concurrently.
 BOOST_AUTO_TEST_CASE(CrashingLookupsLeaveEnginesForOthers) {
   constexpr size_t kEngines = 8;
   constexpr size_t kRounds = 60;
@@ -77,12 +77,13 @@
   Exchanges crashing;
   Exchanges harmless;
   for (size_t round = 0; round < kRounds; ++round) {
-    crashing.push_back(cluster.Ask(round % 2, "", "lookup", kTokens,
-                                   /*stream=*/false, "deadly letter"));
+    crashing.push_back(cluster.SubmitRequest(round % 2, "", "lookup", kTokens,
+                                             /*stream=*/false,
+                                             "deadly letter"));
     for (const size_t entry : {0U, 1U}) {
-      harmless.push_back(cluster.Ask(entry, "", "lookup", kTokens,
-                                     /*stream=*/false,
-                                     "Letter " + std::to_string(round)));
+      harmless.push_back(cluster.SubmitRequest(
+          entry, "", "lookup", kTokens,
+          /*stream=*/false, "Letter " + std::to_string(round)));
     }
     BOOST_TEST(cluster.Wait(
         [&] { return harmless.back()->done && crashing.back()->done; }));
@@ -90,9 +91,9 @@
   BOOST_TEST(cluster.Wait([&] { return CountDone(harmless) == 2 * kRounds; }));
   size_t running = 0;
   for (size_t i = 0; i < kEngines; ++i) {
-    running += cluster.Running("engine-" + std::to_string(i)) ? 1 : 0;
+    running += cluster.IsRunning("engine-" + std::to_string(i)) ? 1 : 0;
   }
-  // Up to three engines may be lost, and three more to retries.
+  // The lookup may crash up to three engines, and its retries three more.
   BOOST_TEST(running >= kEngines - 6);
   const auto answered = std::ranges::count_if(harmless, [](const auto& lookup) {
     return lookup->result.status == 200;
--- a/test/process/process_set.cc
+++ b/test/process/process_set.cc
@@ -79,7 +79,7 @@
   pids_.erase(name);
 }
 
-bool ProcessSet::Running(const std::string& name) const {
+bool ProcessSet::IsRunning(const std::string& name) const {
   const auto found = pids_.find(name);
   siginfo_t info{};
   return found != pids_.end() &&
--- a/test/process/process_set.h
+++ b/test/process/process_set.h
@@ -27,7 +27,7 @@
   std::optional<int> TryJoin(const std::string& name);
   /// Sends SIGKILL and waits for the process to end.
   void Kill(const std::string& name);
-  bool Running(const std::string& name) const;
+  bool IsRunning(const std::string& name) const;
   bool Has(const std::string& name) const { return pids_.contains(name); }
   pid_t Pid(const std::string& name) const { return pids_.at(name); }
 
--- a/test/process/relay.cc
+++ b/test/process/relay.cc
@@ -12,8 +12,9 @@
 
 namespace lavenderkeel::test {
 
-struct Relay::Pair {
-  ~Pair() {
+/// An accepted connection (`in`) and the connection to the target (`out`).
+struct Relay::ConnectionPair {
+  ~ConnectionPair() {
     bufferevent_free(in);
     bufferevent_free(out);
   }
@@ -27,7 +28,8 @@
   bufferevent* in = nullptr;
   bufferevent* out = nullptr;
   bool closed = false;
-  /// One end has sent EOF; the other is closed once it has received all bytes.
+  /// Whether one end has sent EOF. Both connections are closed once all bytes
+  /// have been sent.
   bool half_closed = false;
   std::deque<QueuedBytes> queued;
 
@@ -73,7 +75,7 @@
     evutil_closesocket(socket);
     return;
   }
-  auto pair = std::make_unique<Pair>();
+  auto pair = std::make_unique<ConnectionPair>();
   pair->in =
       bufferevent_socket_new(loop_.base(), socket, BEV_OPT_CLOSE_ON_FREE);
   pair->out = bufferevent_socket_new(loop_.base(), -1, BEV_OPT_CLOSE_ON_FREE);
@@ -83,11 +85,11 @@
                              length);
   pair->relay = this;
   const auto forward = [](bufferevent* from, void* arg) {
-    auto* self = static_cast<Pair*>(arg);
+    auto* self = static_cast<ConnectionPair*>(arg);
     self->relay->Forward(*self, /*to_target=*/from == self->in);
   };
   const auto ended = [](bufferevent*, short what, void* arg) {
-    auto* self = static_cast<Pair*>(arg);
+    auto* self = static_cast<ConnectionPair*>(arg);
     if (self->closed) {
       return;
     }
@@ -104,7 +106,7 @@
   pairs_.push_back(std::move(pair));
 }
 
-void Relay::Forward(Pair& pair, bool to_target) {
+void Relay::Forward(ConnectionPair& pair, bool to_target) {
   evbuffer* input = bufferevent_get_input(to_target ? pair.in : pair.out);
   std::string bytes(evbuffer_get_length(input), '\0');
   evbuffer_remove(input, bytes.data(), bytes.size());
@@ -119,22 +121,22 @@
 void Relay::Flush() {
   const TimePoint now = clock_.Now();
   for (const auto& pair : pairs_) {
-    std::deque<Pair::QueuedBytes> left;
-    for (Pair::QueuedBytes& queued : pair->queued) {
-      const bool stays =
+    std::deque<ConnectionPair::QueuedBytes> remaining;
+    for (ConnectionPair::QueuedBytes& queued : pair->queued) {
+      const bool is_held =
           queued.due > now ||
           (queued.to_target ? to_target_blocked_ : from_target_blocked_);
       if (pair->closed) {
         continue;
       }
-      if (stays) {
-        left.push_back(std::move(queued));
+      if (is_held) {
+        remaining.push_back(std::move(queued));
         continue;
       }
       bufferevent_write(queued.to_target ? pair->out : pair->in,
                         queued.bytes.data(), queued.bytes.size());
     }
-    pair->queued.swap(left);
+    pair->queued.swap(remaining);
     if (pair->half_closed && !pair->closed && pair->Drained()) {
       pair->Close();
     }
--- a/test/process/relay.h
+++ b/test/process/relay.h
@@ -35,10 +35,10 @@
   void SetBlocked(bool to_target, bool from_target);
 
  private:
-  struct Pair;
+  struct ConnectionPair;
 
   void Accept(int socket);
-  void Forward(Pair& pair, bool to_target);
+  void Forward(ConnectionPair& pair, bool to_target);
   /// Forwards queued bytes that are due and not blocked.
   void Flush();
 
@@ -46,7 +46,7 @@
   evconnlistener* listener_;
   std::string address_;
   std::string target_;
-  std::vector<std::unique_ptr<Pair>> pairs_;
+  std::vector<std::unique_ptr<ConnectionPair>> pairs_;
   SystemClock clock_;
   Duration delay_{};
   bool to_target_blocked_ = false;
--- a/test/process/rollout_test.cc
+++ b/test/process/rollout_test.cc
@@ -1,4 +1,4 @@
-// A rollout order of an operator, with real processes and a fake store.
+// Rollout orders by operators, with real processes and a fake store.
 #include <boost/test/unit_test.hpp>
 #include <fstream>
 #include <functional>
@@ -53,8 +53,8 @@
   /// @return false on a timeout
   bool SendUntil(const std::function<bool()>& condition) {
     return Wait([&] {
-      constexpr size_t kAtOnce = 4;
-      while (running_ < kAtOnce) {
+      constexpr size_t kMaxInFlight = 4;
+      while (in_flight_ < kMaxInFlight) {
         Send();
       }
       return condition();
@@ -80,7 +80,7 @@
   }
 
   /// Number of requests that the version's server has run.
-  size_t Runs(const std::string& version) const {
+  size_t CountRuns(const std::string& version) const {
     const std::string runs = ReadFile(processes_.directory() + "/" + version);
     return static_cast<size_t>(std::count(runs.begin(), runs.end(), '\n'));
   }
@@ -131,14 +131,14 @@
   }
 
   void Send() {
-    ++running_;
+    ++in_flight_;
     http_.Start({.address = processes_.Address("entry", "clients"),
                  .path = "/r/x",
                  .headers = {{"Request-Id", "q" + std::to_string(++sent_)},
                              {"Authorization", "Bearer key"},
                              {"Deadline-Ms", "4000"}},
                  .on_done = [this](const HttpResult& result) {
-                   --running_;
+                   --in_flight_;
                    failed_ += result.status == 200 ? 0 : 1;
                  }});
   }
@@ -147,28 +147,30 @@
   EventLoop loop_;
   HttpClient http_{loop_};
   ProcessSet processes_;
-  size_t running_ = 0;
+  size_t in_flight_ = 0;
   uint64_t sent_ = 0;
   int failed_ = 0;
 };
 
 }  // namespace
 
-// The real program reads a rollout order from the store over HTTP, writes its
-// record there, and moves all traffic to the new version.
+// The forwarding entry reads a rollout order from the store over HTTP, writes
+// the rollout's record there, and moves all traffic to the new version. No
+// request fails.
 BOOST_AUTO_TEST_CASE(OrderIsCarriedOutOverRealProcesses) {
   RolloutProcesses processes;
   processes.StartServer("v2");
-  BOOST_TEST(processes.SendUntil([&] { return processes.Runs("v1") >= 50; }));
-  BOOST_TEST(processes.Runs("v2") == 0);
+  BOOST_TEST(
+      processes.SendUntil([&] { return processes.CountRuns("v1") >= 50; }));
+  BOOST_TEST(processes.CountRuns("v2") == 0);
   processes.OrderRollout();
   BOOST_TEST(processes.SendUntil(
       [&] { return processes.HasStoredState("completed"); }));
-  const size_t before = processes.Runs("v1");
-  const size_t moved = processes.Runs("v2");
-  BOOST_TEST(
-      processes.SendUntil([&] { return processes.Runs("v2") >= moved + 20; }));
-  BOOST_TEST(processes.Runs("v1") == before);
+  const size_t before = processes.CountRuns("v1");
+  const size_t moved = processes.CountRuns("v2");
+  BOOST_TEST(processes.SendUntil(
+      [&] { return processes.CountRuns("v2") >= moved + 20; }));
+  BOOST_TEST(processes.CountRuns("v1") == before);
   BOOST_TEST(processes.failed() == 0);
 }
 
--- a/test/rollout/rollout_plays_test.cc
+++ b/test/rollout/rollout_plays_test.cc
@@ -98,7 +98,7 @@
       break;
     case Disturbance::kEntryCut:
       for (int other = 1; other < 4; ++other) {
-        simulation.fleet().set_cut(0, other, true);
+        simulation.fleet().set_partitioned(0, other, true);
       }
       break;
     case Disturbance::kStoreDown:
@@ -113,7 +113,7 @@
   simulation.SetRate(100);
   simulation.fleet().set_store_down(false);
   for (int other = 1; other < 4; ++other) {
-    simulation.fleet().set_cut(0, other, false);
+    simulation.fleet().set_partitioned(0, other, false);
   }
 }
 
--- a/test/rollout/rollout_simulation.cc
+++ b/test/rollout/rollout_simulation.cc
@@ -56,7 +56,7 @@
   constexpr uint64_t kTenths = 10;
   const uint64_t tenth = (number >> 32U) % kTenths;
   const char* route = tenth < 6 ? "lookup" : tenth < 9 ? "once" : "stream";
-  if (fleet_.runs(entry)) {
+  if (fleet_.IsRunning(entry)) {
     sent_requests_.push_back(
         {.entry = entry,
          .incarnation = fleet_.incarnation(entry),
@@ -140,7 +140,7 @@
   double served = 0;
   double all = 0;
   for (const SentRequest& request : sent_requests_) {
-    const bool here = fleet_.runs(request.entry) &&
+    const bool here = fleet_.IsRunning(request.entry) &&
                       fleet_.incarnation(request.entry) == request.incarnation;
     if (!here) {
       continue;
--- a/test/rollout/simulated_versions.cc
+++ b/test/rollout/simulated_versions.cc
@@ -127,14 +127,14 @@
 }
 
 bool SimulatedVersions::IsAwaited(const Run& run) const {
-  return fleet_.runs(run.entry) &&
+  return fleet_.IsRunning(run.entry) &&
          fleet_.incarnation(run.entry) == run.incarnation &&
          !fleet_.port(run.entry).sent[run.sent_index].cancelled;
 }
 
 void SimulatedVersions::Fail(const Run& run, AttemptFailure failure) {
   if (IsAwaited(run)) {
-    fleet_.In(run.entry, [&](ForwardNode& node) {
+    fleet_.RunIn(run.entry, [&](ForwardNode& node) {
       node.controller().OnAttemptFailed(run.attempt.attempt, failure);
     });
   }
@@ -149,7 +149,7 @@
       .fields = {{"Request-Id", run.attempt.Field("Request-Id")},
                  {"Not-Executed", "1"}},
       .framing = BodyFraming::kLength};
-  fleet_.In(run.entry, [&](ForwardNode& node) {
+  fleet_.RunIn(run.entry, [&](ForwardNode& node) {
     node.controller().OnAnswerHead(run.attempt.attempt, head, /*fresh=*/true);
     node.controller().OnAnswerEnd(run.attempt.attempt);
   });
@@ -164,7 +164,7 @@
       .fields = {{"Request-Id", run.attempt.Field("Request-Id")},
                  {"Response-Seal", "seal"}},
       .framing = BodyFraming::kLength};
-  fleet_.In(run.entry, [&](ForwardNode& node) {
+  fleet_.RunIn(run.entry, [&](ForwardNode& node) {
     node.controller().OnAnswerHead(run.attempt.attempt, head, /*fresh=*/true);
     node.controller().OnAnswerChunk(run.attempt.attempt, "answer");
     node.controller().OnAnswerEnd(run.attempt.attempt);
@@ -175,7 +175,7 @@
   if (!IsAwaited(run)) {
     return;
   }
-  fleet_.In(run.entry, [&](ForwardNode& node) {
+  fleet_.RunIn(run.entry, [&](ForwardNode& node) {
     ForwardController& controller = node.controller();
     const AttemptId attempt = run.attempt.attempt;
     if (!std::exchange(run.head_sent, true)) {
@@ -275,7 +275,7 @@
     server.up = server.up || now >= server.back_at;
   }
   for (int entry = 0; entry < fleet_.entries(); ++entry) {
-    if (fleet_.runs(entry)) {
+    if (fleet_.IsRunning(entry)) {
       StartSentAttempts(entry);
     }
   }
--- a/test/soak/checker.h
+++ b/test/soak/checker.h
@@ -29,8 +29,11 @@
 
   /// Violated guarantees, each with the id of its request.
   const std::vector<std::string>& violations() const { return violations_; }
+  /// Number of requests with status 200.
   size_t served() const { return served_; }
+  /// Number of requests that were reported as not run.
   size_t refused() const { return refused_; }
+  /// Number of requests with another status or without a complete answer.
   size_t lost() const { return lost_; }
 
  private:
--- a/test/soak/plan.h
+++ b/test/soak/plan.h
@@ -9,7 +9,8 @@
 
 namespace lavenderkeel::soak {
 
-/// Kind of fault that is injected into the system.
+/// Kind of fault that is injected into the system. "Silence" stalls the open
+/// connections without an error; "cut one way" blocks one direction.
 enum class Fault {
   kKillEntry,
   kStopEntry,
@@ -36,7 +37,7 @@
 
 /// One fault of a plan.
 struct Step {
-  /// Since the start of traffic.
+  /// Time since the start of the traffic.
   Duration at{};
   Fault fault = Fault::kKillEntry;
   /// Index of the entry or server, modulo their number.
@@ -47,10 +48,13 @@
   friend bool operator==(const Step&, const Step&) = default;
 };
 
+/// Faults of a test run, and the size of the system that they are injected
+/// into.
 struct Plan {
   uint64_t seed = 0;
   int entries = 3;
   int servers = 4;
+  /// Duration of the traffic.
   Duration traffic = std::chrono::seconds(12);
   std::vector<Step> steps;
 };
--- a/test/soak/soak_main.cc
+++ b/test/soak/soak_main.cc
@@ -33,7 +33,7 @@
     loop_.Every(std::chrono::milliseconds(4), [this] { loop_.Stop(); });
   }
 
-  bool Play() {
+  bool Execute() {
     if (!system_.Start()) {
       std::cout << "seed " << plan_.seed << ": the system did not start\n";
       system_.KeepLogs();
@@ -160,12 +160,12 @@
   constexpr int kTimedArgument = 3;
   const bool timed =
       argc > kTimedArgument && std::string(argv[kTimedArgument]) == "timed";
-  uint64_t broken = 0;
+  uint64_t failed = 0;
   for (uint64_t seed = first; seed < first + runs; ++seed) {
-    broken += Run(seed, timed).Play() ? 0 : 1;
+    failed += Run(seed, timed).Execute() ? 0 : 1;
   }
-  std::cout << runs - broken << " passed, " << broken << " failed\n";
-  return broken == 0 ? 0 : 1;
+  std::cout << runs - failed << " passed, " << failed << " failed\n";
+  return failed == 0 ? 0 : 1;
 }
 
 }  // namespace
--- a/test/soak/system.cc
+++ b/test/soak/system.cc
@@ -260,18 +260,19 @@
 }
 
 void System::Tick() {
-  std::vector<Pending> due;
-  std::erase_if(pending_, [&](Pending& pending) {
-    const bool now = pending.at <= clock_.Now();
-    if (now) {
+  std::vector<PendingAction> due;
+  std::erase_if(pending_, [&](PendingAction& pending) {
+    const bool is_due = pending.at <= clock_.Now();
+    if (is_due) {
       due.push_back(std::move(pending));
     }
-    return now;
+    return is_due;
   });
-  for (const Pending& pending : due) {
+  for (const PendingAction& pending : due) {
     pending.action();
   }
-  // Like the platform, restarts processes that have ended, after a short delay.
+  // Restarts entries that have ended, after a short delay, as the platform
+  // does.
   for (Entry& entry : entries_) {
     if (entry.starting && processes_.HasReadyFile(entry.name)) {
       entry.starting = false;
@@ -290,7 +291,7 @@
 }
 
 void System::Heal() {
-  for (Pending& pending : pending_) {
+  for (PendingAction& pending : pending_) {
     pending.at = {};
   }
   Tick();
--- a/test/soak/system.h
+++ b/test/soak/system.h
@@ -45,13 +45,16 @@
  private:
   struct Entry {
     std::string name;
+    /// Relay from the entry to the store.
     std::unique_ptr<test::Relay> store;
-    /// Addresses that stay the same across restarts of the entry.
+    /// Relays to the ports of the entry; they keep their addresses when the
+    /// entry restarts.
     std::unique_ptr<test::Relay> clients;
     std::unique_ptr<test::Relay> peers;
-    /// Started, but its ready file has not been read yet.
+    /// Whether the entry has been started, but its ready file has not been read
+    /// yet.
     bool starting = false;
-    /// Ended, and its restart is scheduled.
+    /// Whether the entry has ended and its restart is scheduled.
     bool restarting = false;
   };
   struct Server {
@@ -60,7 +63,7 @@
     std::unique_ptr<test::Relay> relay;
     int starts = 0;
   };
-  struct Pending {
+  struct PendingAction {
     TimePoint at;
     std::function<void()> action;
   };
@@ -83,7 +86,7 @@
   test::ProcessSet processes_;
   std::vector<Entry> entries_;
   std::vector<Server> servers_;
-  std::vector<Pending> pending_;
+  std::vector<PendingAction> pending_;
   uint64_t config_version_ = 0;
 };
 
