--- a/lavenderkeel/forward/attempt.h
+++ b/lavenderkeel/forward/attempt.h
@@ -5,18 +5,18 @@
 
 namespace lavenderkeel {
 
-/// Identifies a client request at this entry.
+/// Id of a client request at this entry.
 using ExchangeId = uint64_t;
-/// Identifies one attempt at one backend server.
+/// Id of one attempt at one backend server.
 using AttemptId = uint64_t;
 
-/// Why an attempt ended without a complete answer.
+/// Reason why an attempt ended without a complete answer.
 enum class AttemptFailure {
   /// No connection was established, so nothing was sent.
   kNotConnected,
   /// The server states that it did not run the request.
   kRejected,
-  /// Another server has the address; it did not run the request.
+  /// Another server has the address and did not run the request.
   kWrongServer,
   /// The connection was closed or reset before the answer was complete, as when
   /// the server process ends.
@@ -27,11 +27,12 @@
   kSilent,
 };
 
-/// What is known about whether a server ran a request.
+/// Knowledge of whether a server ran a request.
 enum class RunState { kUnsent, kProvedNotRun, kMayHaveRun };
 
-/// However the connection was closed, the server may have run the request: only
-/// its own statement, or the lack of a connection, proves otherwise.
+/// Returns what a failure shows about the run of the request. However the
+/// connection was closed, the server may have run it: only a statement of the
+/// server, or the lack of a connection, proves otherwise.
 constexpr RunState RunStateAfter(AttemptFailure failure) {
   switch (failure) {
     case AttemptFailure::kNotConnected:
--- a/lavenderkeel/forward/entry_directory.h
+++ b/lavenderkeel/forward/entry_directory.h
@@ -19,7 +19,8 @@
 /// two thirds of their processor time go into reading unchanged lists, and
 /// slots are granted late. So a new entry is announced once, by an entry that
 /// connects to it before a list names it, and complete lists go to one entry at
-/// a time; they make up for lost announcements and show which entries are gone.
+/// a time; the complete lists make up for lost announcements and show which
+/// entries are gone.
 class EntryDirectory {
  public:
   struct Options {
@@ -32,7 +33,8 @@
   EntryDirectory(Options options, InstanceInfo self);
 
   /// Records a connection; an entry not known before is announced.
-  /// @return whether it is the first connection, or the entry was unavailable
+  /// @return whether it is the first connection to the entry, or the entry was
+  ///     unavailable
   bool OnConnected(const InstanceInfo& info, TimePoint now);
   /// Records entries that another entry listed.
   /// @param complete whether it is the complete list of the sender
@@ -40,31 +42,33 @@
   bool OnListed(const std::vector<InstanceInfo>& listed,
                 bool complete,
                 TimePoint now);
-  /// The entry does not answer or is leaving. It is no coordinator until it
-  /// connects again or a new incarnation is listed.
+  /// Handles an entry that does not answer or is leaving. Such an entry is no
+  /// coordinator until it connects again or a new incarnation is listed.
   void OnUnavailable(const PeerId& peer);
 
-  /// Entries connected since the last call that no list had named before.
+  /// Returns the entries that connected since the last call and that no list
+  /// had named before.
   std::vector<InstanceInfo> TakeNewEntries();
-  /// All known entries except this one. Unavailable entries are dialled until
-  /// they are forgotten.
+  /// Returns all known entries except this one, with unavailable entries: these
+  /// are dialled until they are forgotten.
   std::vector<InstanceInfo> Others() const {
     return ListOthers(/*include_unavailable=*/true);
   }
-  /// The same without the unavailable entries.
+  /// Returns the other entries without the unavailable ones.
   std::vector<InstanceInfo> AvailableOthers() const {
     return ListOthers(/*include_unavailable=*/false);
   }
-  /// Number of other available entries whose weight for a key is higher.
+  /// Returns the number of other available entries with a higher rendezvous
+  /// weight for the key.
   size_t RankFor(uint64_t key) const;
-  /// Includes this entry.
+  /// Returns the number of known entries, including this one.
   size_t size() const { return entries_.size() + 1; }
 
   const std::set<std::string>& coordinators() const { return coordinators_; }
   bool IsCoordinator(const std::string& instance) const {
     return coordinators_.contains(instance);
   }
-  /// The smallest processor share of a coordinator, in cores.
+  /// Returns the smallest processor share of a coordinator, in cores.
   double min_coordinator_share() const { return min_coordinator_share_; }
   bool self_coordinates() const { return IsCoordinator(self_.id.instance); }
 
--- a/lavenderkeel/forward/entry_exchange.cc
+++ b/lavenderkeel/forward/entry_exchange.cc
@@ -19,8 +19,9 @@
 
 namespace {
 
-/// Whether a condition has held for longer than a duration.
-/// @param since when it began to hold; kept from call to call
+/// Returns whether a condition has held for longer than a duration.
+/// @param since time at which the condition began to hold; kept from call to
+///     call
 bool HoldsFor(Duration longer_than,
               bool holds,
               std::optional<TimePoint>& since,
@@ -58,7 +59,7 @@
       rollouts_(rollouts),
       clock_(clock),
       entry_directory_(options.entry_directory, members.self()) {
-  OnRosterChange();
+  OnEntryDirectoryChange();
 }
 
 void EntryExchange::OnLinkUp(LinkId link, const InstanceInfo& peer) {
@@ -69,7 +70,7 @@
   if (entry_directory_.OnConnected(peer, clock_.Now())) {
     SendList(link, peer.id.instance, entry_directory_.AvailableOthers(),
              /*complete=*/true);
-    OnRosterChange();
+    OnEntryDirectoryChange();
   }
 }
 
@@ -85,15 +86,15 @@
   feed_receivers_.erase(peer);
   rollouts_.OnPeerLost(peer);
   entry_directory_.OnUnavailable(peer);
-  OnRosterChange();
+  OnEntryDirectoryChange();
 }
 
 void EntryExchange::OnPeerLeaving(const PeerId& peer) {
   entry_directory_.OnUnavailable(peer);
-  OnRosterChange();
+  OnEntryDirectoryChange();
 }
 
-void EntryExchange::OnRosterChange() {
+void EntryExchange::OnEntryDirectoryChange() {
   slot_router_.set_hosts_schedulers(entry_directory_.self_coordinates());
   slot_router_.set_min_host_processor_share(
       entry_directory_.min_coordinator_share());
@@ -158,7 +159,7 @@
     }
   }
   if (entry_directory_.OnListed(listed, known.complete, clock_.Now())) {
-    OnRosterChange();
+    OnEntryDirectoryChange();
   }
 }
 
@@ -197,7 +198,7 @@
   }
   const bool lagging =
       HoldsFor(options_.max_feed_lag, latest != own_state.server_change,
-               behind_since_, now);
+               lagging_since_, now);
   // In order of preference: has the latest change, if this entry lags; gets
   // answers from the store; is in this data centre, since lists are long;
   // rendezvous weight, which spreads the entries over the coordinators.
--- a/lavenderkeel/forward/entry_exchange.h
+++ b/lavenderkeel/forward/entry_exchange.h
@@ -22,7 +22,7 @@
 
 namespace lavenderkeel {
 
-/// Exchange of state between entries, and whom they connect to.
+/// Exchange of state between entries, and choice of the entries to connect to.
 ///
 /// Every entry reports to the coordinators, and they report to every entry. Two
 /// entries of which neither is a coordinator have nothing to exchange and keep
@@ -31,8 +31,8 @@
 class EntryExchange {
  public:
   struct Options {
-    /// Report period. Others place requests by reports this old; a request
-    /// lasts some 300 ms.
+    /// Report period. Other entries place requests by reports up to this old; a
+    /// request lasts some 300 ms.
     Duration status_period = std::chrono::milliseconds(100);
     /// One of this many reports contains the rate usage of all teams, the
     /// others only what changed.
@@ -43,7 +43,8 @@
     /// A coordinator without a report for this time counts as down.
     Duration coordinator_timeout = std::chrono::milliseconds(400);
     /// An entry that lacks the latest change for this time takes the list of
-    /// servers from any coordinator that has it, not from its usual one.
+    /// servers from a coordinator that has this change instead of its usual
+    /// one.
     Duration max_feed_lag = std::chrono::milliseconds(300);
     /// A list that was sent over a connection that is still open is sent again
     /// if the receiver has not confirmed it within this time. A list of 3,000
@@ -56,7 +57,7 @@
     EntryDirectory::Options entry_directory;
   };
 
-  /// Further state that the status contains.
+  /// Further state of this entry for its status.
   struct OwnState {
     uint64_t server_change = 0;
     bool store_lost = false;
@@ -84,7 +85,7 @@
                 const Clock& clock);
 
   void OnLinkUp(LinkId link, const InstanceInfo& peer);
-  /// The connection that this entry opened to the member is established.
+  /// Handles a new connection that this entry opened to the member.
   void OnPeerUp(const Member& member);
   void OnPeerLost(const PeerId& peer);
   void OnPeerLeaving(const PeerId& peer);
@@ -95,12 +96,14 @@
   void SendStatusSoon() { status_due_ = {}; }
   void Tick(const OwnState& own_state);
 
-  /// A coordinator sends this entry the changes of the list of servers and of
-  /// the configuration, so that the entry need not read the store.
+  /// Returns whether a coordinator sends this entry the changes of the list of
+  /// servers and of the configuration, so that the entry need not read the
+  /// store.
   bool is_fed() const { return feed_source_.has_value() && !all_lost_store_; }
-  /// The feed source, if it has this or a later version.
+  /// Returns the feed source if it has this or a later version of the
+  /// configuration.
   std::optional<PeerId> FeedSourceWithConfig(uint64_t version) const;
-  /// The feed source gets no answers from the store.
+  /// Returns whether the feed source gets no answers from the store.
   bool feed_source_lost_store() const;
 
   Counts Count() const;
@@ -125,9 +128,10 @@
   };
 
   bool IsUp(const PeerId& coordinator) const;
-  /// Null without a feed source.
+  /// Returns null without a feed source.
   const CoordinatorStatus* FeedSourceStatus() const;
-  /// Whether this coordinator relays the rate usage at that entry.
+  /// Returns whether this entry is the coordinator that relays the rate usage
+  /// of the given entry.
   bool RelaysUsageOf(const std::string& instance) const;
   void ChooseFeedSource(const OwnState& own_state);
   void UpdateFeedReceiver(const PeerId& peer, uint64_t reported_change);
@@ -142,8 +146,9 @@
                 const std::string& to,
                 const std::vector<InstanceInfo>& entries,
                 bool complete);
-  /// The coordinators determine the entries to connect to.
-  void OnRosterChange();
+  /// Updates the entries to connect to and the scheduler hosts, which follow
+  /// from the known entries.
+  void OnEntryDirectoryChange();
 
   Options options_;
   MemberTable& members_;
@@ -161,7 +166,7 @@
   /// The coordinator that the list of servers comes from; none if this entry
   /// coordinates or receives no status of a coordinator.
   std::optional<PeerId> feed_source_;
-  std::optional<TimePoint> behind_since_;
+  std::optional<TimePoint> lagging_since_;
   std::optional<TimePoint> store_lost_since_;
   bool all_lost_store_ = false;
   std::map<PeerId, FeedReceiver> feed_receivers_;
--- a/lavenderkeel/forward/forward_controller.cc
+++ b/lavenderkeel/forward/forward_controller.cc
@@ -16,8 +16,9 @@
 constexpr int kFirstServerError = 500;
 constexpr int kMisdirected = 421;
 
-/// Maximum attempts of one request. An attempt that finds no connection costs a
-/// connect timeout, and a request has time for few of these.
+/// Maximum number of servers that one request is sent to, whether or not they
+/// run it. An attempt that finds no connection costs a connect timeout, and a
+/// request has time for few of these.
 constexpr size_t kMaxServersTried = 6;
 
 /// With less time left than this, a further attempt cannot be answered in time.
@@ -35,7 +36,7 @@
                        kEventStream);
 }
 
-/// The head without connection fields.
+/// Returns the head without connection fields.
 ResponseHead ForClient(const ResponseHead& head) {
   ResponseHead passed = head;
   passed.fields = WithoutConnectionFields(head.fields);
@@ -55,7 +56,7 @@
   }
 }
 
-/// Seconds with three decimals; clients accept fractions.
+/// Formats the wait in seconds with three decimals; clients accept fractions.
 std::string RetryAfterValue(Duration wait) {
   constexpr int64_t kMillisecondsPerSecond = 1000;
   const int64_t ms = std::max<int64_t>(1, ToMilliseconds(wait));
@@ -385,7 +386,7 @@
   request.attempt = ++last_attempt_;
   attempts_[request.attempt] = request.exchange;
   SlotRequest slot_request = MakeSlotRequest(request);
-  // The slot may be granted before this returns.
+  // The slot may be granted before this call returns.
   slot_router_.RequestSlot(std::move(slot_request));
 }
 
@@ -419,16 +420,16 @@
   }
   slot_request.size = history.sizes.EstimateFor(request.metadata);
   slot_request.event_gap_target = route.event_gap_target;
-  // A request that was sent before has already waited, so length does not delay
-  // it.
+  // A request that was sent before has already waited, so its length does not
+  // delay it further.
   const bool goes_last =
       request.is_long && history.long_requests.ShouldGoLast();
   slot_request.by_length =
       request.tried.empty() && (!request.is_long || goes_last);
   if (slot_request.by_length && goes_last &&
       route.priority > table_->first_priority()) {
-    // With the next rank, except in the most urgent one, whose target also
-    // holds for long requests.
+    // A long request is queued with the next rank, except in the most urgent
+    // rank, whose target also holds for long requests.
     ++slot_request.route_priority;
     slot_request.priority += request.has_team_priority ? 0 : 1;
   }
@@ -463,8 +464,8 @@
     Enqueue(*request);
     return true;
   }
-  // What arrived since the slot request may hold the request or change its
-  // placement.
+  // Rollout plans and crash evidence that arrived since the slot request may
+  // hold the request or change its placement.
   if (!version_selector_.Admits(request->service, server->version) ||
       DecideOnCrashes(*request).kind != CrashDecision::Kind::kRun ||
       crashes_.SuspicionOf(request->fingerprint) > request->suspicion) {
@@ -896,7 +897,8 @@
   if (silent && request.may_repeat() &&
       request.runs + 1 < request.route->max_attempts) {
     // The connection to the former server is closed before another server gets
-    // the request, so that the two do not work on it at the same time for long.
+    // the request, so that the two do not work on the request at the same time
+    // for long.
     port_.Cancel(request.attempt);
     AfterFailure(request, AttemptFailure::kSilent);
   }
--- a/lavenderkeel/forward/forward_controller.h
+++ b/lavenderkeel/forward/forward_controller.h
@@ -33,7 +33,7 @@
 
 namespace lavenderkeel {
 
-/// Status that an entry sends to others several times a second.
+/// Status that an entry sends to other entries several times a second.
 struct ForwardReport {
   uint64_t table_version = 0;
   std::vector<ServerCount> in_flight;
@@ -43,7 +43,8 @@
   friend bool operator==(const ForwardReport&, const ForwardReport&) = default;
 };
 
-/// Forwards client requests to backend servers and the answers to the clients.
+/// Controller that forwards client requests to backend servers and the answers
+/// to the clients.
 ///
 /// Owns every request from its arrival to its single final answer: route, team
 /// and rate, the queue, successive attempts, resumption of streams, and the
@@ -81,8 +82,7 @@
   };
 
   /// @param slot_router receives the slot requests of this controller; the
-  /// grants
-  ///     come back through OnSlotGranted
+  ///     grants come back through OnSlotGranted
   /// @param crashes knows which requests crash their servers; kept by the
   ///     owner, who shares its evidence with other entries
   /// @param version_selector decides at which server versions requests may run
@@ -100,31 +100,32 @@
   /// Puts a configuration in force, unless a newer one already is.
   void OnRouteTable(std::shared_ptr<const RouteTable> table);
   const std::shared_ptr<const RouteTable>& table() const { return table_; }
-  /// Zero before the first.
+  /// Returns zero before the first configuration.
   uint64_t table_version() const {
     return table_ == nullptr ? 0 : table_->version();
   }
 
   // Clients.
   void OnRequest(ExchangeId exchange, RequestHead head, std::string body);
-  /// Answers a request that could not be parsed with that code.
+  /// Answers a request that could not be parsed with the given code.
   void OnBadRequest(ExchangeId exchange, ResultCode code);
   void OnClientGone(ExchangeId exchange);
-  /// New requests are refused from now on; earlier ones are finished.
+  /// Refuses new requests from now on; earlier ones are finished.
   void RejectNewRequests() { refuses_new_ = true; }
 
-  /// Uses a granted slot.
-  /// @return false if it is no longer wanted
+  /// Sends the request for which the slot was granted.
+  /// @return false if the slot is no longer wanted
   bool OnSlotGranted(const std::string& scheduler, const SlotGrant& grant);
 
   // Servers.
   enum class HeadVerdict {
-    /// It answers the request.
+    /// The message answers the request.
     kTake,
-    /// It answers another request; the next message may answer this one.
+    /// The message answers another request; the next one may answer this
+    /// request.
     kSkip,
-    /// It is no valid answer. The attempt is over; the connection is to be
-    /// closed.
+    /// The message is no valid answer. The attempt is over; the connection is
+    /// to be closed.
     kDrop,
   };
   /// @param fresh whether nothing was answered on this connection before
@@ -137,15 +138,15 @@
   void OnAttemptFailed(AttemptId attempt, AttemptFailure failure);
 
   // Other entries.
-  /// The status of this entry for the other entries.
+  /// Returns the status of this entry for the other entries.
   ForwardReport Report() const;
   void OnPeerReport(const std::string& peer, const ForwardReport& report);
   /// Records the rate usage at other entries, relayed by a coordinator.
   void OnRelayedTotals(const std::string& coordinator,
                        const UsageTotals& totals);
   void OnPeerLost(const std::string& peer);
-  /// Number of entries that share the bounds, and of those that report here;
-  /// both include this entry.
+  /// Sets the number of entries that share the bounds, and of those that report
+  /// here; both include this entry.
   void OnPeerCount(size_t known, size_t reporting);
   /// Records that an entry is connected that started before this one.
   void OnOlderPeer() { rates_.share().OnOlderPeer(); }
@@ -153,9 +154,9 @@
   /// Ends waits, silent attempts and requests whose time is over.
   void Tick();
 
-  /// Number of requests without a final answer.
+  /// Returns the number of requests without a final answer.
   size_t open() const { return requests_.size() + early_requests_.size(); }
-  /// Those that are not at a server.
+  /// Returns the number of open requests that are not at a server.
   size_t waiting() const;
 
  private:
@@ -168,7 +169,7 @@
     std::string body;
     RequestMetadata metadata;
     TimePoint arrived;
-    /// For the first configuration; unused once there is one.
+    /// End of the wait for the first configuration; unused once there is one.
     TimePoint waits_until;
   };
 
@@ -183,7 +184,8 @@
   struct Refusal {
     ResultCode code;
     std::optional<Duration> retry_after;
-    /// Not to be sent yet; see TeamRates::Shortage.
+    /// Whether the request is held and checked again instead of refused; see
+    /// TeamRates::Shortage.
     bool undecided = false;
   };
 
@@ -199,13 +201,14 @@
   /// Begins or refuses the early requests whose wait is over.
   void CheckEarlyRequests(TimePoint now);
   std::optional<Refusal> UseTeamRate(ForwardedRequest& request);
-  /// Asks for a slot, unless the request is refused or held for an equal one or
-  /// for the rollout plans.
+  /// Requests a slot, unless the request is refused or held for an equal
+  /// request or for the rollout plans.
   void Enqueue(ForwardedRequest& request);
   CrashDecision DecideOnCrashes(const ForwardedRequest& request) const;
   void RefuseAsCrashing(ForwardedRequest& request,
                         const CrashDecision& decision);
-  /// Of a plain service; nothing before the first answer.
+  /// Returns a high quantile of the answer times of a plain service; nothing
+  /// before the first answer.
   static std::optional<Duration> AnswerTimeQuantile(
       const RouteHistory& history);
   void RecordEndOfWait(const ForwardedRequest& request, bool got_slot);
--- a/lavenderkeel/forward/forward_node.cc
+++ b/lavenderkeel/forward/forward_node.cc
@@ -20,9 +20,9 @@
 /// machine delays ticks by some hundred milliseconds.
 constexpr Duration kMaxTickGap = std::chrono::milliseconds(900);
 
-/// Whether `one` started well before `other`. An incarnation is the calendar
-/// time of the start in microseconds; processes that are killed together start
-/// within half a second of each other.
+/// Returns whether `one` started well before `other`. An incarnation is the
+/// calendar time of the start in microseconds; processes that are killed
+/// together start within half a second of each other.
 bool StartedBefore(const PeerId& one, const PeerId& other) {
   constexpr Duration kMaxJointStartSpread = std::chrono::seconds(1);
   return one.incarnation + static_cast<uint64_t>(kMaxJointStartSpread.count()) <
@@ -39,9 +39,9 @@
   return options;
 }
 
-/// Servers change in groups (a start, a release), and a server that leaves
-/// accepts requests for two more seconds, so their watch gathers changes for
-/// longer.
+/// Returns the options of the watch on the servers. Servers change in groups (a
+/// start, a release), and a server that leaves accepts requests for two more
+/// seconds, so this watch gathers changes for longer.
 ObjectWatch::Options ServerWatchOptions(ObjectWatch::Options options,
                                         std::string kind) {
   options.batch_delay *= 2;
--- a/lavenderkeel/forward/forward_node.h
+++ b/lavenderkeel/forward/forward_node.h
@@ -34,7 +34,7 @@
   std::function<leaf::result<RolloutOrder>(const StoredObject&)>
       decode_rollout = {};
   RolloutController::Write write_rollout = {};
-  /// Starts a read; `done` is called once, after it returns.
+  /// Starts a read; `done` is called once, after the function returns.
   std::function<void(const ObjectRead&,
                      std::function<void(const ObjectReadResult&)> done)>
       read;
@@ -52,12 +52,13 @@
     ExposureBounds exposure;
     MemberTable::Options members = {
         .dial = {.max = std::chrono::seconds(1)},
-        // Until then the rate share and the report of a lost entry still count.
+        // Until a lost entry is forgotten, its rate share and report count.
         .forget_after = std::chrono::seconds(10)};
-    /// The wait applies while few other entries watch the store.
+    /// The wait of these options applies while few other entries watch the
+    /// store.
     ObjectWatch::Options watch;
-    /// With more entries than this the wait grows, so that together they renew
-    /// their watches no more often.
+    /// If more entries than this watch the store, their wait grows, so that
+    /// together they renew their watches no more often.
     size_t entries_at_base_wait = 4;
     /// Below the shortest change history that a store keeps.
     Duration max_watch_wait = std::chrono::seconds(12);
@@ -80,9 +81,10 @@
 
   void Start();
   void Tick();
-  /// The process was suspended: its state may be out of date.
+  /// Handles a suspension of the process, after which its state may be out of
+  /// date.
   void OnFreeze();
-  /// Not ready from now on; accepted requests are finished.
+  /// Makes the entry not ready; accepted requests are finished.
   void Leave();
 
   bool OnLinkUp(LinkId link,
@@ -92,7 +94,7 @@
   void OnDialFailed(const std::string& address);
   void OnMessage(LinkId link, Message message);
 
-  /// Whether new requests can be served here.
+  /// Returns whether new requests can be served here.
   bool ready() const;
   bool leaving() const { return leaving_; }
   ForwardController& controller() { return controller_; }
@@ -114,12 +116,12 @@
   void StepRollouts();
   void Read(ObjectWatch& watch, uint64_t call, const ObjectRead& read);
   void OnConfig(const std::string& content, const char* from);
-  /// Nothing, and a warning, if it cannot be decoded.
+  /// Returns nothing and logs a warning if the object cannot be decoded.
   std::optional<BackendServer> ReadServer(const StoredObject& object) const;
   void OnServer(const StoredObject& object);
   void OnServerList(const std::vector<StoredObject>& objects);
   void OnServerFeed(const ServerFeed& feed);
-  /// Reads the store only as far as no coordinator sends its contents.
+  /// Pauses the watches on the store whose objects a coordinator sends.
   void UpdateStoreReads();
 
   void DeliverSlotRequest(const std::string& scheduler,
@@ -178,8 +180,8 @@
   TimePoint newer_config_since_;
   /// Peers that report that the store does not answer them.
   std::set<PeerId> peers_without_store_;
-  /// The most watching entries, this one included, since the watches were last
-  /// confirmed because half of them were lost.
+  /// Highest number of watching entries, this one included, since the watches
+  /// were last confirmed after the loss of half of these entries.
   size_t watchers_when_confirmed_ = 1;
   /// Peers by instance and incarnation.
   std::map<std::string, PeerId> peers_;
--- a/lavenderkeel/forward/forward_port.h
+++ b/lavenderkeel/forward/forward_port.h
@@ -27,7 +27,8 @@
   virtual void Abort(ExchangeId exchange) = 0;
 
   struct OutgoingRequest {
-    /// The incarnation to send to; connections of no other are used.
+    /// The incarnation to send to; connections to other incarnations are not
+    /// used.
     std::string server;
     std::string address;
     std::string bytes;
--- a/lavenderkeel/forward/forwarded_request.h
+++ b/lavenderkeel/forward/forwarded_request.h
@@ -40,7 +40,7 @@
   std::string team;
   RequestFingerprint fingerprint = 0;
   int priority = 0;
-  /// The priority is that of the team, not of the route.
+  /// Whether the priority is that of the team, not of the route.
   bool has_team_priority = false;
   /// The answer is expected to be much longer than usual for the route.
   bool is_long = false;
@@ -53,7 +53,7 @@
 
   State state = State::kWaiting;
   TimePoint waiting_since;
-  /// Waits without having asked for a slot.
+  /// Whether the request waits without a slot request.
   bool held = false;
   /// Crash suspicion at the time of the slot request.
   CrashSuspicion suspicion = CrashSuspicion::kClear;
@@ -76,9 +76,9 @@
   int event_count = 0;
   TimePoint first_event_at;
 
-  /// Servers that it was sent to, in order.
+  /// Servers that the request was sent to, in order.
   std::vector<std::string> tried;
-  /// Attempts after which it may have run.
+  /// Number of attempts after which the request may have run.
   int runs = 0;
   /// The client has the head of an incomplete answer.
   bool head_sent = false;
@@ -88,7 +88,8 @@
   /// Longest pause between two events sent to the client, over all attempts.
   Duration longest_pause{};
 
-  /// It was never sent, and there is no evidence against it.
+  /// Returns whether the request was never sent and is not suspected of
+  /// crashing servers.
   bool fresh() const {
     return tried.empty() && !head_sent && suspicion == CrashSuspicion::kClear;
   }
--- a/lavenderkeel/forward/long_requests.h
+++ b/lavenderkeel/forward/long_requests.h
@@ -5,21 +5,23 @@
 
 namespace lavenderkeel {
 
-/// Decides whether the long requests of a route are queued behind shorter ones.
+/// Decision on whether the long requests of a route are queued behind shorter
+/// ones.
 ///
 /// In a burst beyond the capacity, with answers whose lengths differ
 /// hundredfold, one request in fifteen holds a slot for as long as half of all
-/// others together. Where these few go last, twice as many clients are served
-/// in time. Their clients wait for an answer too, so long requests go last only
-/// while nearly as many of them get a slot as of all requests.
+/// others together. If these few go last, twice as many clients are served in
+/// time. Clients of long requests wait for an answer too, so long requests go
+/// last only while nearly as many of them get a slot as of all requests.
 class LongRequests {
  public:
   struct Options {
     /// Long requests go last unless the fraction of them that gets a slot falls
-    /// below this ratio to that of all requests. Half would clearly be unfair,
-    /// and some that get a slot are not finished in time. With 0.6 the
-    /// worst-served kind and size of request got 0.43 of what it asks for on
-    /// the heaviest day of 26 entries and 47 servers, with this value 0.49.
+    /// below this multiple of the same fraction of all requests. Half would
+    /// clearly be unfair, and some long requests that get a slot are not
+    /// finished in time. With 0.6 the worst-served kind and size of request got
+    /// 0.43 of what it asks for on the heaviest day of 26 entries and 47
+    /// servers, with this value 0.49.
     double min_relative_granted_fraction = 0.85;
   };
 
--- a/lavenderkeel/forward/placement.cc
+++ b/lavenderkeel/forward/placement.cc
@@ -36,8 +36,8 @@
   const ServerLoad* load = nullptr;
 };
 
-/// Median over the servers that have a sample; stands in for those that have
-/// none.
+/// Returns the median over the servers that have a sample; it stands in for the
+/// servers that have none.
 std::optional<double> MedianOf(const std::vector<KnownServer>& servers,
                                SpeedGetter getter) {
   std::vector<double> samples;
--- a/lavenderkeel/forward/placement.h
+++ b/lavenderkeel/forward/placement.h
@@ -13,10 +13,10 @@
 
 namespace lavenderkeel {
 
-/// Speed and health by start key.
+/// Speed and health of servers by start key.
 using ServerLoads = std::map<std::string, ServerLoad>;
 
-/// Chooses the backend server for a request among those with free capacity.
+/// Choice of the backend server for a request among those with free capacity.
 ///
 /// Servers of one service differ in speed by a factor of four, and some are in
 /// another data centre.
@@ -29,8 +29,9 @@
     /// entries. Beyond its slots a model server queues first come, first
     /// served, so urgent requests would wait behind the rest.
     double places_per_slot = 1.0;
-    /// The same for a plain service, whose requests last some 30 ms: one
-    /// waiting request per slot hides the round trip to the next one.
+    /// Capacity of a plain service: requests in flight per slot. Requests last
+    /// some 30 ms; one waiting request per slot hides the round trip to the
+    /// next one.
     double places_per_plain_slot = 2.0;
     /// Additional relative cost of another data centre. Its price and its round
     /// trip of 2 ms are small compared to a request, so it decides ties only.
@@ -116,7 +117,8 @@
   Fit FitOf(const SlotRequest& request,
             const Candidate& candidate,
             TimePoint now) const;
-  /// Whether the candidate has the version; an empty one matches any.
+  /// Returns whether the candidate has the version; an empty version matches
+  /// any candidate.
   static bool MatchesVersion(const std::string& version,
                              const Candidate& candidate);
   /// @return a server of the request's canary version, or null
@@ -125,8 +127,8 @@
                           const SuspectRuns& suspects,
                           TimePoint now) const;
   int CapacityOf(const BackendServer& server, bool model_server) const;
-  /// Includes the load, and the crash risk for the request and those at the
-  /// server.
+  /// Returns the cost including the load, and the crash risk for the request
+  /// and the requests at the server.
   double CostWithLoad(const SlotRequest& request,
                       const Candidate& candidate,
                       const SuspectRuns& suspects) const;
--- a/lavenderkeel/forward/rate_share.h
+++ b/lavenderkeel/forward/rate_share.h
@@ -43,15 +43,15 @@
     joined_ |= reporting > 1 && reporting == known && is_settled;
   }
 
-  /// An older entry reports, so this one joins a running fleet, which kept
-  /// counting.
+  /// Records a report of an older entry: this entry joins a running fleet,
+  /// which kept counting usage.
   void OnOlderPeer() { joined_ = true; }
 
-  /// Whether this entry does not know the usage of the others yet.
+  /// Returns whether this entry does not know the usage of the others yet.
   bool IsJoining(TimePoint now) const {
     return !joined_ && now < join_deadline();
   }
-  /// Time at which the joining phase is over at the latest.
+  /// Returns the time at which the joining phase is over at the latest.
   TimePoint join_deadline() const { return start_ + options_.join_time; }
 
   double ShareAt(TimePoint now) const {
@@ -60,8 +60,8 @@
                : static_cast<double>(reporting_) / static_cast<double>(known_);
   }
 
-  /// This entry's share, while joining, of what all entries together may let
-  /// through.
+  /// Returns this entry's share, while joining, of what all entries together
+  /// may let through.
   ///
   /// If all entries are killed while a team overloads them, each starts alone
   /// and would let the whole rate through until it receives reports of the
@@ -71,7 +71,7 @@
            static_cast<double>(std::max(known_, options_.assumed_entries));
   }
 
-  /// Number of entries that share the limits of the fleet.
+  /// Returns the number of entries that share the limits of the fleet.
   size_t EntryCount(TimePoint now) const {
     return IsJoining(now) ? std::max(known_, options_.assumed_entries) : known_;
   }
--- a/lavenderkeel/forward/request_age_estimator.h
+++ b/lavenderkeel/forward/request_age_estimator.h
@@ -10,15 +10,15 @@
 
 namespace lavenderkeel {
 
-/// Distinguishes requests of clients that were refused before and came back
-/// from first attempts, by the time that they have left.
+/// Estimator that distinguishes first attempts from requests of clients that
+/// were refused before and came back, by the time that the requests have left.
 ///
 /// If a burst lasts longer than clients wait for a slot, refused clients come
 /// back and their requests look new. Each takes a slot in which another request
 /// would have been in time, while its own answer is late in any case. With 26
 /// entries and 47 servers, a fifth of the slots of the least urgent rank were
-/// lost in this way; with the distinction its clients get 0.02 to 0.05 more of
-/// what they request on the heaviest days, see docs/POLICY.md.
+/// lost in this way; with the distinction the clients of this rank get 0.02 to
+/// 0.05 more of what they request on the heaviest days, see docs/POLICY.md.
 ///
 /// All clients of a route wait about equally long, so the usual time left is
 /// that of first attempts. One instance serves one route; its size is constant.
--- a/lavenderkeel/forward/request_metadata.h
+++ b/lavenderkeel/forward/request_metadata.h
@@ -57,7 +57,7 @@
                          const AnswerMetadata&) = default;
 };
 
-/// Translates between message heads and these structures, for one wire format.
+/// Translation between message heads and these structures, for one wire format.
 struct ForwardCodec {
   /// Returns nothing if a required field cannot be parsed.
   std::function<std::optional<RequestMetadata>(const RequestHead&)>
--- a/lavenderkeel/forward/request_timing.cc
+++ b/lavenderkeel/forward/request_timing.cc
@@ -7,7 +7,7 @@
 TimePoint RequestTiming::SlotWaitEnd(const ForwardedRequest& request) const {
   const double patience = PatienceSeconds(*request.route);
   if (request.head_sent) {
-    // A stream whose server became silent in a burst is resumed at another
+    // A stream whose server stopped sending in a burst is resumed at another
     // server. The queue may be so long that no slot is free for 0.8 s; with the
     // shorter wait below, the answer would be cut although the client would
     // wait longer.
--- a/lavenderkeel/forward/request_timing.h
+++ b/lavenderkeel/forward/request_timing.h
@@ -9,13 +9,14 @@
 namespace lavenderkeel {
 
 /// Time limits of a request: its wait for a slot, the latest start that is in
-/// time, and the silence of its server. They depend only on the request and the
-/// options.
+/// time, and the permitted silence of its server. The limits depend only on the
+/// request and the options.
 class RequestTiming {
  public:
   struct Options {
-    /// A client leaves if nothing arrives for the longest of these three times.
-    /// They describe the clients of the users.
+    /// A client leaves if nothing arrives for the longest of three times, given
+    /// by this option and the next two. The values describe the clients of the
+    /// users.
     Duration client_patience = std::chrono::seconds(2);
     double client_patience_per_target = 4;
     double client_patience_per_gap = 8;
@@ -29,10 +30,10 @@
     /// time left. In a burst of some seconds, a client that came back after 0.3
     /// s waited and was refused again, and clients come back only once; later
     /// there is capacity. Clients wait for a third of their time at most. The
-    /// least urgent rank has a tenth fewer refusals with it, see
+    /// least urgent rank has a tenth fewer refusals with this value, see
     /// docs/POLICY.md.
     double retry_after_per_time_left = 0.3;
-    /// Bursts are no longer.
+    /// Upper bound of Retry-After: no burst lasts longer.
     Duration max_retry_after = std::chrono::seconds(4);
     /// A repeatable request is sent again if the server is silent for this
     /// multiple of the latency target. Three times the target exceeds the
@@ -50,10 +51,10 @@
 
   explicit RequestTiming(const Options& options) : options_(options) {}
 
-  /// When the wait for a slot ends without one.
+  /// Returns when a request that got no slot ends its wait.
   TimePoint SlotWaitEnd(const ForwardedRequest& request) const;
-  /// The latest start at a server with which the answer is in time for the
-  /// client.
+  /// Returns the latest start at a server with which the answer is in time for
+  /// the client.
   ///
   /// In a queue of a plain service that never empties, each request is granted
   /// its slot just before it would be late. If no time, or the mean time, is
@@ -64,16 +65,16 @@
   ///     a suitable server, which costs 0.04 of the total value on quiet days
   TimePoint LatestStartInTime(const ForwardedRequest& request,
                               std::optional<Duration> answer_time) const;
-  /// Retry-After of a request that is refused at the end of its wait: a
-  /// fraction of the time that is left then, up to the maximum.
+  /// Returns the Retry-After of a request that is refused at the end of its
+  /// wait: a fraction of its time left at that point, up to the maximum.
   Duration RetryAfter(const ForwardedRequest& request) const;
-  /// After this silence the attempt is abandoned.
+  /// Returns the silence of a server after which the attempt is abandoned.
   Duration MaxSilence(const ForwardedRequest& request) const;
 
  private:
-  /// How long a client tolerates a pause before it leaves, in seconds.
+  /// Returns how long a client tolerates a pause before it leaves, in seconds.
   double PatienceSeconds(const Route& route) const;
-  /// The time that a slow model server needs to read the prompt.
+  /// Returns the time that a slow model server needs to read the prompt.
   Duration PromptReadTime(const ForwardedRequest& request) const;
 
   Options options_;
--- a/lavenderkeel/forward/retry_window.h
+++ b/lavenderkeel/forward/retry_window.h
@@ -9,7 +9,7 @@
 
 namespace lavenderkeel {
 
-/// Bounds the number of retries for a service in any window of time.
+/// Bound on the number of retries for a service in any window of time.
 ///
 /// If a service fails and every entry retries each request, the load on its
 /// remaining servers doubles and the overload does not end. Each entry uses
@@ -55,8 +55,8 @@
   };
   using Buckets = std::deque<Bucket>;
 
-  /// A check of the bound may use any window: where traffic has just stopped,
-  /// it may contain a quarter fewer requests with the same retries.
+  /// The bound must hold for any window. One in which traffic has just stopped
+  /// may contain a quarter fewer requests with the same retries.
   static constexpr double kCountedFraction = 0.75;
 
   /// Keeps a window within 5% of its length, at 20 buckets of state.
@@ -86,7 +86,7 @@
       }
     };
     drop_older(requests_, options_.window);
-    // The retries of a bucket may have been sent at its end.
+    // The retries of a bucket may have been sent at the end of its width.
     drop_older(retries_, options_.window + width);
   }
 
--- a/lavenderkeel/forward/rollout_exchange.h
+++ b/lavenderkeel/forward/rollout_exchange.h
@@ -14,8 +14,8 @@
 namespace lavenderkeel {
 
 /// Exchange of rollout state: all entries send counts, coordinators also plans.
-/// One coordinator decides, the same for all entries that receive reports from
-/// the same coordinators.
+/// One coordinator decides on the rollouts; entries that receive reports from
+/// the same coordinators choose the same one.
 class RolloutExchange {
  public:
   RolloutExchange(RolloutController& rollouts,
@@ -36,7 +36,8 @@
   void ChooseDecider(const PeerId& self,
                      bool coordinates,
                      const std::function<bool(const PeerId&)>& is_up);
-  /// None while no coordinator is known to have read the orders.
+  /// Returns the entry that decides; none while no coordinator is known to have
+  /// read the orders.
   const std::optional<PeerId>& decider() const { return decider_; }
 
  private:
--- a/lavenderkeel/forward/route_table.h
+++ b/lavenderkeel/forward/route_table.h
@@ -46,10 +46,10 @@
   Duration event_gap_target{};
   /// 0 is the most urgent.
   int priority = 0;
-  /// Servers that may run one request; at least 1.
+  /// Maximum number of servers that may run one request; at least 1.
   int max_attempts = 1;
 
-  /// Whether a request that may have run can be sent again.
+  /// Returns whether a request that may have run can be sent again.
   bool may_repeat() const { return idempotent || (streaming && resumable); }
 
   friend bool operator==(const Route&, const Route&) = default;
@@ -69,7 +69,7 @@
   double per_second = 0;
   /// Units that may be used at once above the rate.
   double burst = 0;
-  /// The unit is a token, else a request.
+  /// Whether the unit is a token; otherwise it is a request.
   bool in_tokens = false;
   /// Units used by a request without a token count.
   double tokens_if_unknown = 1;
@@ -133,10 +133,10 @@
   const TeamConfig* FindTeam(const std::string& name) const;
   const Service* FindService(const std::string& name) const;
 
-  /// The priority of the most urgent routes; 0 without routes.
+  /// Returns the priority of the most urgent routes; 0 without routes.
   int first_priority() const { return first_priority_; }
 
-  /// The service for a request; the same for all its attempts.
+  /// Returns the service for a request; the same for all its attempts.
   static const std::string& PickService(const Route& route,
                                         std::string_view request_id);
 
--- a/lavenderkeel/forward/server_directory.cc
+++ b/lavenderkeel/forward/server_directory.cc
@@ -33,7 +33,7 @@
   servers_[server.start_key()] = {.server = server, .drop_at = std::nullopt};
 }
 
-ServerDirectory::Entries::iterator ServerDirectory::FindById(
+ServerDirectory::KnownServers::iterator ServerDirectory::FindById(
     const std::string& id) {
   return std::ranges::find_if(servers_, [&id](const auto& item) {
     return item.second.server.id == id;
--- a/lavenderkeel/forward/server_directory.h
+++ b/lavenderkeel/forward/server_directory.h
@@ -43,10 +43,10 @@
 
 /// Usable backend servers, from an instance list that has outages.
 ///
-/// During an outage of the list's store the entries of live servers expire. On
-/// its return all servers are missing for a moment, and every request would be
-/// refused. Live servers are listed again within about two seconds, so a server
-/// that is missing after an outage is kept for that long.
+/// During an outage of the list's store the entries of live servers expire.
+/// When the store returns, all servers are missing for a moment, and every
+/// request would be refused. Live servers are listed again within about two
+/// seconds, so a server that is missing after an outage is kept for that long.
 class ServerDirectory {
  public:
   struct Options {
@@ -64,26 +64,26 @@
   void ApplyList(const std::vector<BackendServer>& servers, TimePoint now);
   void Apply(const BackendServer& server);
   void Remove(const std::string& id, TimePoint now);
-  /// The list cannot be read; its last state stays in force.
+  /// Handles an outage of the list; its last state stays in force.
   void OnOutage();
-  /// The list can be read again.
+  /// Handles the end of an outage.
   void OnRecovery(TimePoint now);
   /// Drops servers that were not listed again in time.
   void Tick(TimePoint now);
 
   /// @return the server if that incarnation of it is listed, otherwise null
   const BackendServer* Find(const std::string& start_key) const;
-  /// Servers that may get requests: listed and not draining, or expired
-  /// together with most others.
+  /// Returns the servers that may get requests: listed and not draining, or
+  /// expired together with most others.
   std::vector<const BackendServer*> Usable(const std::string& service) const;
-  /// Changes whenever the result of Usable may change.
+  /// Returns a number that changes whenever the result of Usable may change.
   uint64_t generation() const { return generation_; }
-  /// Whether the server was missing after an outage and is not listed again
-  /// yet.
+  /// Returns whether the server was missing after an outage and is not listed
+  /// again yet.
   bool IsUnconfirmed(const std::string& start_key) const;
 
  private:
-  struct Entry {
+  struct KnownServer {
     BackendServer server;
     /// Time at which the server is dropped unless it is listed again.
     std::optional<TimePoint> drop_at;
@@ -95,12 +95,12 @@
   }
 
   Options options_;
-  using Entries = std::map<std::string, Entry>;
+  using KnownServers = std::map<std::string, KnownServer>;
 
-  Entries::iterator FindById(const std::string& id);
+  KnownServers::iterator FindById(const std::string& id);
 
   /// By start key; at most one incarnation of each id.
-  Entries servers_;
+  KnownServers servers_;
   uint64_t generation_ = 1;
   bool outage_ = false;
   std::optional<TimePoint> outage_end_;
--- a/lavenderkeel/forward/server_log.h
+++ b/lavenderkeel/forward/server_log.h
@@ -14,7 +14,7 @@
 /// Objects of the store: all of them, or those that changed after a revision.
 struct ObjectDelta {
   bool complete = false;
-  /// Of the latest change that is included.
+  /// Revision of the latest change that is included.
   uint64_t revision = 0;
   std::vector<StoredObject> objects;
 
@@ -44,7 +44,8 @@
   /// Drops expired removals.
   void Tick(TimePoint now);
 
-  /// Everything if the removals since the revision are no longer known.
+  /// Returns the changes after the revision, or all objects if the removals
+  /// since then are no longer known.
   ObjectDelta ChangesSince(uint64_t revision) const;
   uint64_t revision() const { return revision_; }
 
--- a/lavenderkeel/forward/server_speed.h
+++ b/lavenderkeel/forward/server_speed.h
@@ -22,12 +22,12 @@
     }
   }
 
-  /// As SlotResult::pace_ms; empty before the first sample.
+  /// Returns the mean of SlotResult::pace_ms; empty before the first sample.
   std::optional<double> pace_ms() const {
     return pace_ms_.empty() ? std::nullopt : std::optional(pace_ms_.mean());
   }
-  /// Milliseconds until the first event per prompt token; empty before the
-  /// first sample.
+  /// Returns the milliseconds until the first event per prompt token; empty
+  /// before the first sample.
   std::optional<double> read_ms_per_token() const {
     return read_tokens_.mean() <= 0
                ? std::nullopt
--- a/lavenderkeel/forward/size_estimate.h
+++ b/lavenderkeel/forward/size_estimate.h
@@ -10,13 +10,14 @@
 
 namespace lavenderkeel {
 
-/// Estimates the number of events per answer of one route.
+/// Estimate of the number of events per answer of one route.
 ///
-/// Clients state the expected output tokens; how many of these make an event
-/// depends on the servers. Both are learned from complete answers.
+/// Clients state the expected output tokens; how many tokens make an event
+/// depends on the servers. The mean number of events and the events per token
+/// are estimated from complete answers.
 class SizeEstimate {
  public:
-  /// Records a complete answer with that many events.
+  /// Records a complete answer with the given number of events.
   void OnAnswer(const RequestMetadata& metadata, int events) {
     events_.Add(events);
     if (metadata.expected_output_tokens > 0) {
@@ -25,7 +26,8 @@
     }
   }
 
-  /// Whether the answer will be much longer than the route's average.
+  /// Returns whether the answer is expected to be much longer than the route's
+  /// average.
   bool IsLong(const RequestMetadata& metadata) const {
     return !events_.empty() &&
            EstimateEvents(metadata) > kLongEventsPerMean * events_.mean();
--- a/lavenderkeel/forward/slot_router.cc
+++ b/lavenderkeel/forward/slot_router.cc
@@ -31,8 +31,8 @@
   pending.scheduler =
       SchedulerFor(pending.request.service, pending.request.group);
   pending.granted = false;
-  // Copies: a scheduler at this entry may grant at once, and the attempt may
-  // end.
+  // Copied: a scheduler at this entry may grant the slot within the call, and
+  // the attempt may end, which erases `pending`.
   const std::string scheduler = pending.scheduler;
   const SlotRequest request = pending.request;
   hooks_.request_slot(scheduler, request);
@@ -44,7 +44,8 @@
       std::max<size_t>(1, servers / MinServersPerScheduler()));
   const uint64_t service_hash = HashBytes(request.service);
   // The group with the most free slots by its scheduler's last report, less the
-  // requests sent since. Round robin among equals, so that entries spread.
+  // requests sent since. Round robin among equals, so that entries spread their
+  // requests.
   SlotGroup best;
   int best_net_free_slots = 0;
   const uint32_t first = round_robin_++;
--- a/lavenderkeel/forward/slot_router.h
+++ b/lavenderkeel/forward/slot_router.h
@@ -14,12 +14,12 @@
 
 namespace lavenderkeel {
 
-/// Sends an entry's slot requests to the schedulers that grant them.
+/// Router of an entry's slot requests to the schedulers that grant them.
 ///
 /// The servers of a large service are split into groups. The scheduler of a
-/// group runs at the entry that wins the rendezvous among those that reported
-/// lately. If a scheduler is unresponsive, its waiting requests are sent to the
-/// next one.
+/// group runs at the entry that wins the rendezvous among those with a recent
+/// report. If a scheduler is unresponsive, its waiting requests are sent to the
+/// scheduler that is next in the rendezvous.
 class SlotRouter {
  public:
   struct Options {
@@ -56,15 +56,15 @@
              const EventLog& log,
              Hooks hooks);
 
-  /// Requests a slot and chooses the group for it.
+  /// Chooses a group for the request and requests a slot from its scheduler.
   void RequestSlot(SlotRequest request);
   /// @return false if no waiting request matches the grant; the slot is then
   ///     returned unused
   bool OnGrant(const std::string& scheduler, AttemptId attempt);
   /// Ends the attempt, granted or not.
   void ReleaseSlot(AttemptId attempt, const SlotResult& result);
-  /// Scheduler that last received the attempt's slot request; empty if none
-  /// did.
+  /// Returns the scheduler that last received the attempt's slot request; empty
+  /// if none did.
   std::string RequestedScheduler(AttemptId attempt) const;
 
   /// Handles a report of an entry that may host schedulers.
@@ -73,14 +73,15 @@
   /// Sends waiting requests again after a reconnect, since messages on the
   /// former connection may be lost.
   void OnReconnected(const std::string& entry);
-  /// Whether this entry hosts schedulers. If not, another one that reports
-  /// does.
+  /// Sets whether this entry hosts schedulers. If not, another entry that
+  /// reports hosts them.
   void set_hosts_schedulers(bool hosts) { hosts_schedulers_ = hosts; }
-  /// Processor share of the weakest entry that hosts schedulers, in cores.
+  /// Sets the processor share of the weakest entry that hosts schedulers, in
+  /// cores.
   void set_min_host_processor_share(double cores) {
     min_host_processor_share_ = cores;
   }
-  /// From now on another entry hosts the schedulers, if there is one.
+  /// Lets another entry host the schedulers from now on, if there is one.
   void set_leaving() { leaving_ = true; }
   /// Handles an entry that is leaving or lost.
   void OnSchedulerUnavailable(const std::string& entry);
--- a/lavenderkeel/forward/slot_scheduler.cc
+++ b/lavenderkeel/forward/slot_scheduler.cc
@@ -33,7 +33,7 @@
   waiting_by_attempt_[id] = {.request = request, .position = position};
   queues_[QueueKeyOf(request)].insert(position);
   late_times_.emplace(request.in_time_until, id);
-  DispatchService(request.service);
+  GrantFreeSlotsOfService(request.service);
 }
 
 SlotScheduler::QueuePosition SlotScheduler::PositionOf(
@@ -114,7 +114,7 @@
   if (const BackendServer* known = directory_.Find(server)) {
     loads_[server].OnEnd(result, clock_.Now());
     speeds_[known->service].OnEnd(result);
-    DispatchService(std::string(known->service));
+    GrantFreeSlotsOfService(std::string(known->service));
   }
 }
 
@@ -183,26 +183,26 @@
 void SlotScheduler::GrantFreeSlots() {
   // A grant may end at once and re-enter this function; the outer call
   // continues.
-  if (std::exchange(dispatching_, true)) {
+  if (std::exchange(granting_, true)) {
     return;
   }
   DemoteLateRequests();
   for (auto& [key, queue] : queues_) {
-    DispatchQueue(key, queue);
+    GrantFreeSlotsInQueue(key, queue);
   }
-  dispatching_ = false;
+  granting_ = false;
 }
 
-void SlotScheduler::DispatchService(const std::string& service) {
-  if (std::exchange(dispatching_, true)) {
+void SlotScheduler::GrantFreeSlotsOfService(const std::string& service) {
+  if (std::exchange(granting_, true)) {
     return;
   }
   DemoteLateRequests();
   for (auto item = queues_.lower_bound({.service = service, .group = {0, 0}});
        item != queues_.end() && item->first.service == service; ++item) {
-    DispatchQueue(item->first, item->second);
+    GrantFreeSlotsInQueue(item->first, item->second);
   }
-  dispatching_ = false;
+  granting_ = false;
 }
 
 void SlotScheduler::Tick() {
@@ -216,8 +216,8 @@
   GrantFreeSlots();
 }
 
-void SlotScheduler::DispatchQueue(const QueueKey& key,
-                                  std::set<QueuePosition>& queue) {
+void SlotScheduler::GrantFreeSlotsInQueue(const QueueKey& key,
+                                          std::set<QueuePosition>& queue) {
   if (queue.empty()) {
     return;
   }
--- a/lavenderkeel/forward/slot_scheduler.h
+++ b/lavenderkeel/forward/slot_scheduler.h
@@ -39,15 +39,16 @@
 /// behind earlier ones. One scheduler per group of servers has a current view
 /// and one queue for all entries.
 ///
-/// Its state need not last: an entry whose scheduler is lost asks another one,
-/// which starts from the entries' reports. At-most-once execution does not
-/// depend on it.
+/// The state of a scheduler need not last: an entry whose scheduler is lost
+/// sends its requests to another one, which starts from the entries' reports.
+/// At-most-once execution does not depend on this state.
 class SlotScheduler {
  public:
   struct Options {
     Placement::Options placement;
     /// A grant that the entry's reports do not show after this time was lost,
-    /// or its end was. Twice the report period plus a network delay.
+    /// or the message about its end was. Twice the report period plus a network
+    /// delay.
     Duration grant_report_time = std::chrono::milliseconds(260);
     /// Limit of requests skipped to find one that fits a free server. A queue
     /// holds some hundred requests in a burst, and a scheduler may have a tenth
@@ -79,13 +80,14 @@
   void ForgetEntry(const std::string& entry);
   /// Grants free slots, as after a change of the servers or as time passes.
   void GrantFreeSlots();
-  /// Drops the state of removed servers and of unused groups, and dispatches.
+  /// Drops the state of removed servers and of unused groups, and grants free
+  /// slots.
   void Tick();
 
-  /// Reports on the groups with recent slot requests.
+  /// Returns reports on the groups with recent slot requests.
   std::vector<SlotGroupReport> Reports() const;
   size_t waiting(const std::string& service, const SlotGroup& group) const;
-  /// Free capacity at healthy servers of the group.
+  /// Returns the free capacity at healthy servers of the group.
   int FreeCapacity(const std::string& service, const SlotGroup& group) const;
 
  private:
@@ -126,12 +128,13 @@
                            const SlotRequest& request) const;
   /// Moves requests that can no longer be in time behind those that still can.
   void DemoteLateRequests();
-  /// Estimated time that the request will hold its slot; zero if unknown or not
-  /// ordered by length.
+  /// Returns the estimated time that the request will hold its slot; zero if
+  /// unknown or not ordered by length.
   Duration LengthPenalty(const SlotRequest& request) const;
   /// Grants free slots of one service.
-  void DispatchService(const std::string& service);
-  void DispatchQueue(const QueueKey& key, std::set<QueuePosition>& queue);
+  void GrantFreeSlotsOfService(const std::string& service);
+  void GrantFreeSlotsInQueue(const QueueKey& key,
+                             std::set<QueuePosition>& queue);
   void Remove(const AttemptKey& id);
   void Grant(const AttemptKey& id, const BackendServer& server);
   /// Removes a grant whose attempt no longer runs; the request counts of the
@@ -157,7 +160,7 @@
   std::set<std::pair<TimePoint, AttemptKey>> late_times_;
   Grants grants_;
   SuspectRuns suspects_;
-  bool dispatching_ = false;
+  bool granting_ = false;
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/forward/suspect_runs.h
+++ b/lavenderkeel/forward/suspect_runs.h
@@ -11,9 +11,9 @@
 /// Running requests under which servers were lost before, by server.
 ///
 /// A harmless request that is retried after the loss of its server may run
-/// beside the request that caused the loss again. After some such losses it is
-/// blocked like the other one. If the two run at different servers, only one
-/// loses its server.
+/// beside the request that caused the loss again. After some such losses the
+/// harmless request is blocked too. If the two run at different servers, only
+/// the other one loses its server.
 class SuspectRuns {
  public:
   void Add(uint64_t server, CrashSuspicion suspicion) {
@@ -37,8 +37,8 @@
     }
   }
 
-  /// Whether a request of that suspicion may run at the server beside those
-  /// there.
+  /// Returns whether a request of the given suspicion may run at the server
+  /// beside the requests there.
   bool Admits(uint64_t server, CrashSuspicion suspicion) const {
     const Count count = CountAt(server);
     return suspicion >= CrashSuspicion::kDoubtful  ? count.all == 0
@@ -46,7 +46,7 @@
                                                    : true;
   }
 
-  /// Whether the request should prefer another server.
+  /// Returns whether the request should prefer another server.
   bool ShouldAvoid(uint64_t server, CrashSuspicion suspicion) const {
     const Count count = CountAt(server);
     return suspicion == CrashSuspicion::kClear ? count.doubtful > 0
--- a/lavenderkeel/forward/team_rates.h
+++ b/lavenderkeel/forward/team_rates.h
@@ -22,7 +22,7 @@
     RateShare::Options share;
   };
 
-  /// Why units were not taken, and the values behind the decision.
+  /// Reason why units were not taken, and the values behind the decision.
   struct Shortage {
     /// Time until the units are available, or until that is known.
     Duration wait{};
@@ -45,7 +45,7 @@
                                double units,
                                TimePoint now);
 
-  /// Units that this entry let through, for reports to the others.
+  /// Returns the units that this entry let through, for reports to the others.
   UsageTotals totals() const;
   void OnPeerTotals(const std::string& peer,
                     const UsageTotals& totals,
--- a/lavenderkeel/forward/team_token_bucket.h
+++ b/lavenderkeel/forward/team_token_bucket.h
@@ -16,15 +16,16 @@
 /// Every entry keeps the whole bucket and deducts both its own requests and the
 /// totals that others report. Reports are a heartbeat old, so a burst may
 /// exceed the bound by what arrives in that time; the bound's tolerance covers
-/// it. An entry without reports from some of the others refills only its share,
-/// so that partitioned entries cannot spend the rate several times over.
+/// this excess. An entry without reports from some of the others refills only
+/// its share, so that partitioned entries cannot spend the rate several times
+/// over.
 class TeamTokenBucket {
  public:
   /// Tolerated excess over a rate, and how much of it is used.
   ///
   /// A team near its rate is refused if the count errs high, and its rate is
-  /// exceeded if it errs low. The target therefore lies between the rate and
-  /// the end of the tolerance; the rest is for late reports.
+  /// exceeded if the count errs low. The target therefore lies between the rate
+  /// and the end of the tolerance; the rest is for late reports.
   struct Tolerance {
     /// Fraction of the rate and of the burst.
     double over = 0;
@@ -38,15 +39,16 @@
   TeamTokenBucket() = default;
   /// Creates the bucket of an entry that started at `start`. The team's usage
   /// before the start is unknown and may have emptied the bucket.
-  /// @param level units that all entries at once may let through nevertheless
+  /// @param level units that all entries together may let through at the start
+  ///     nevertheless
   TeamTokenBucket(TimePoint start, double level)
       : level_(level),
         last_fill_(start),
         initial_level_(level),
         start_(start) {}
 
-  /// Rate that the bucket enforces: the rate and the used fraction of the
-  /// tolerance.
+  /// Returns the rate that the bucket enforces: the rate and the used fraction
+  /// of the tolerance.
   static TeamRate TargetRate(const TeamRate& rate, const Tolerance& tolerance) {
     TeamRate target = rate;
     const double factor = 1 + tolerance.over * tolerance.used_fraction_of_over;
@@ -96,12 +98,13 @@
     return true;
   }
 
-  /// How the first reported total of a peer counts.
+  /// Treatment of the first reported total of a peer.
   enum class FirstTotal {
-    /// The peer has run for long, and most of its total was refilled since: it
-    /// may empty the bucket but leaves no debt.
+    /// The peer has run for long, and most of its total was refilled since: the
+    /// total may empty the bucket but leaves no debt.
     kLongRunning,
-    /// The peer started together with this entry: all of it was just used.
+    /// The peer started together with this entry: all of its total was just
+    /// used.
     kStartedTogether,
     /// Another source reported for the peer until now, and counted the total.
     kAlreadyCounted,
@@ -125,7 +128,7 @@
 
   void ForgetPeer(const std::string& peer) { peers_.erase(peer); }
 
-  /// Units that this entry let through since its start.
+  /// Returns the units that this entry let through since its start.
   double used() const { return used_; }
   double level() const { return level_; }
 
--- a/lavenderkeel/forward/upper_quantile_estimator.h
+++ b/lavenderkeel/forward/upper_quantile_estimator.h
@@ -3,8 +3,8 @@
 
 namespace lavenderkeel {
 
-/// Estimate of the value that some six in seven of the latest samples lie
-/// below, for positive values: a high duration that is not an outlier.
+/// Estimator of the value that some six in seven of the latest samples lie
+/// below, as for a long duration that is not an outlier. Samples are positive.
 class UpperQuantileEstimator {
  public:
   void Add(double sample) {
@@ -20,8 +20,8 @@
   bool empty() const { return empty_; }
 
  private:
-  /// In balance where 0.15 of the samples are above: ln(1 / 0.98) against
-  /// ln(1.12 / 0.98). Some six samples above double the value, thirty-five
+  /// The value is in balance where 0.15 of the samples are above: ln(1 / 0.98)
+  /// against ln(1.12 / 0.98). Some six samples above double it, thirty-five
   /// below halve it.
   static constexpr double kUpFactor = 1.12;
   static constexpr double kDownFactor = 0.98;
--- a/lavenderkeel/forward/usage_relay.h
+++ b/lavenderkeel/forward/usage_relay.h
@@ -48,7 +48,8 @@
     }
   }
 
-  /// Totals for one entry, without its own usage, which it counts itself.
+  /// Returns the totals for one entry, without its own usage, which that entry
+  /// counts itself.
   /// @param all whether to include teams unchanged since the last ClearChanges
   UsageTotals TotalsFor(const PeerId& entry, bool all) const {
     UsageTotals totals;
--- a/lavenderkeel/forward/work_size.h
+++ b/lavenderkeel/forward/work_size.h
@@ -5,7 +5,8 @@
 
 namespace lavenderkeel {
 
-/// Estimated work of a request for a model server. Zero if unknown or none.
+/// Estimated work of a request for a model server. A value is zero if it is
+/// unknown or there is none.
 struct WorkSize {
   uint32_t prompt_tokens = 0;
   /// Number of events of the answer.
--- a/test/forward/answer_time_test.cc
+++ b/test/forward/answer_time_test.cc
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-BOOST_AUTO_TEST_CASE(HighQuantileConvergesAndFollowsChanges) {
+BOOST_AUTO_TEST_CASE(UpperQuantileConvergesAndFollowsChanges) {
   std::mt19937 random(3);
   UpperQuantileEstimator quantile;
   for (const double max_sample : {100.0, 400.0, 50.0}) {
@@ -28,25 +28,26 @@
 BOOST_AUTO_TEST_CASE(SlotGoesToRequestThatCanBeInTime) {
   RouteTableContent content = fakes::ForwardSimulation::Table(2);
   content.services = {{.name = "engines"}};
-  fakes::ForwardSimulation w({.servers = 1, .slots = 1});
-  w.controller.OnRouteTable(std::make_shared<const RouteTable>(content));
+  fakes::ForwardSimulation simulation({.servers = 1, .slots = 1});
+  simulation.controller.OnRouteTable(
+      std::make_shared<const RouteTable>(content));
   // A plain service has two places per slot.
   for (int i = 0; i < 10; ++i) {
-    w.Request("lookup");
-    w.Advance(milliseconds(200));
-    w.Answer(w.last(), 200, "done");
+    simulation.Request("lookup");
+    simulation.Advance(milliseconds(200));
+    simulation.Answer(simulation.last(), 200, "done");
   }
-  w.Request("lookup");
-  const fakes::SentAttempt running = w.last();
-  w.Request("lookup");
-  const size_t sent = w.port.sent.size();
-  w.Request("lookup", {{"Request-Id", "old"}});
-  w.Advance(milliseconds(360));
-  w.Request("lookup", {{"Request-Id", "new"}});
-  BOOST_REQUIRE(w.port.sent.size() == sent);
-  w.Answer(running, 200, "done");
-  BOOST_REQUIRE(w.port.sent.size() == sent + 1);
-  BOOST_TEST(w.last().Field("Request-Id") == "new");
+  simulation.Request("lookup");
+  const fakes::SentAttempt running = simulation.last();
+  simulation.Request("lookup");
+  const size_t sent = simulation.port.sent.size();
+  simulation.Request("lookup", {{"Request-Id", "old"}});
+  simulation.Advance(milliseconds(360));
+  simulation.Request("lookup", {{"Request-Id", "new"}});
+  BOOST_REQUIRE(simulation.port.sent.size() == sent);
+  simulation.Answer(running, 200, "done");
+  BOOST_REQUIRE(simulation.port.sent.size() == sent + 1);
+  BOOST_TEST(simulation.last().Field("Request-Id") == "new");
 }
 
 }  // namespace lavenderkeel
--- a/test/forward/crash_simulation.h
+++ b/test/forward/crash_simulation.h
@@ -19,7 +19,7 @@
     std::string route = "lookup";
     /// Interval of requests that crash their server; zero: none.
     Duration crashing_every = std::chrono::milliseconds(150);
-    /// Different requests of this kind, in rotation.
+    /// Number of different requests that crash their server, sent in rotation.
     int crashing_kinds = 1;
     /// Interval of harmless requests, each with a different body.
     Duration harmless_every = std::chrono::milliseconds(25);
@@ -80,7 +80,8 @@
     fleet_.Start(entry);
   }
 
-  /// Of the requests whose entry still runs and whose body begins so.
+  /// Returns the number of requests whose entry still runs and whose body
+  /// begins with `body`.
   int CountSent(const std::string& body) {
     return Count(body, [](const fakes::ClientView&) { return true; });
   }
@@ -89,15 +90,17 @@
       return client.status == kOk;
     });
   }
-  /// Refused because equal requests are taken for the cause of losses.
+  /// Returns the number of the same requests that were refused because equal
+  /// requests are taken for the cause of losses.
   int CountRefusedAsCrashing(const std::string& body) {
     return Count(body, [](const fakes::ClientView& client) {
       return client.body.find("crashes_servers") != std::string::npos;
     });
   }
 
-  /// How often a request reached a server later than kReportDelay after it
-  /// crashed its third one; the maximum over the requests that crash servers.
+  /// Returns how often a request reached a server later than kReportDelay after
+  /// it had crashed its third server; the maximum over the requests that crash
+  /// servers.
   int CountLateRetries() {
     int most = 0;
     for (int kind = 0; kind < options_.crashing_kinds; ++kind) {
@@ -115,7 +118,7 @@
 
  private:
   static constexpr int kOk = 200;
-  /// All entries know of a loss by then.
+  /// Time within which reports of a loss reach all entries.
   static constexpr Duration kReportDelay = std::chrono::seconds(3);
 
   struct Request {
@@ -149,7 +152,7 @@
         [&](TimePoint at) { return at > ended[kThird] + kReportDelay; }));
   }
 
-  /// Kind 0 is kCrashing.
+  /// Returns the body of a kind; that of kind 0 is kCrashing.
   static std::string CrashingBody(int kind) {
     return kCrashing + std::string(static_cast<size_t>(kind), '+');
   }
--- a/test/forward/crashing_request_test.cc
+++ b/test/forward/crashing_request_test.cc
@@ -14,10 +14,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// For a request that has crashed three servers.
+/// Maximum for a request that has crashed three servers.
 constexpr int kMaxLateRetries = 3;
 
-/// True only in the first step at or after that time.
+/// Returns whether `now` is the first step at or after `when`.
 bool At(Duration now, Duration when) {
   return now >= when && now < when + milliseconds(10);
 }
@@ -28,7 +28,7 @@
              0);
 }
 
-/// Fraction of the requests with that body that were answered.
+/// Returns the fraction of the requests with the given body that were answered.
 double AnsweredFraction(CrashSimulation& simulation, const std::string& body) {
   return static_cast<double>(simulation.CountAnswered(body)) /
          simulation.CountSent(body);
--- a/test/forward/fleet_test.cc
+++ b/test/forward/fleet_test.cc
@@ -12,8 +12,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Highest number of messages that a weak entry of an idle fleet sends and
-/// receives in a second.
+/// Returns the highest number of messages that a weak entry of an idle fleet
+/// sends and receives in a second.
 uint64_t MaxIdleMessagesPerSecond(int entries,
                                   const CoordinatorRules& rules = {}) {
   FleetSimulation::Options options = {.entries = entries, .strong = 10};
@@ -46,7 +46,8 @@
   return range;
 }
 
-/// Number of running entries of 60 that know that the server is draining.
+/// Returns the number of running entries of 60 that know that the server is
+/// draining.
 int CountWithoutUsableServer(FleetSimulation& fleet) {
   return static_cast<int>(std::ranges::count_if(Range(0, 60), [&](int entry) {
     return fleet.runs(entry) &&
@@ -218,7 +219,7 @@
 // long server list has reached it, and must not get the list again each time.
 BOOST_AUTO_TEST_CASE(ServerListIsNotResentWhileInTransit) {
   constexpr uint64_t kServers = 200;
-  constexpr uint64_t kFollowers = 20;
+  constexpr uint64_t kFeedReceivers = 20;
   FleetSimulation fleet({.entries = 30,
                          .strong = 10,
                          .with_server = false,
@@ -232,7 +233,7 @@
   BOOST_TEST(fleet.node(29).directory().Usable("engines").size() == kServers);
   // Each change may reach an entry from the coordinator that it used and, if
   // another had it first, from that one too.
-  BOOST_TEST(fleet.server_updates_sent() <= 2 * kServers * kFollowers);
+  BOOST_TEST(fleet.server_updates_sent() <= 2 * kServers * kFeedReceivers);
 }
 
 }  // namespace lavenderkeel
--- a/test/forward/forward_promises_test.cc
+++ b/test/forward/forward_promises_test.cc
@@ -20,8 +20,8 @@
 constexpr const char* kRoutes[] = {"stream", "once-stream", "once", "lookup"};
 constexpr int kEvents = 6;
 
-/// Servers that handle each attempt as the test draws, and an oracle that knows
-/// only what servers ran and what clients received.
+/// Servers that handle each attempt at random, and an oracle that uses only
+/// what servers ran and what clients received.
 class ForwardGuarantees {
  public:
   void Request() {
@@ -90,7 +90,8 @@
     return client.ended || client.aborted || gone_.contains(exchange);
   }
 
-  /// Collects the attempts that were sent since, and drops the cancelled ones.
+  /// Collects the attempts that were sent since the last call, and drops the
+  /// cancelled ones.
   void CollectSent() {
     for (; seen_ < simulation_.port.sent.size(); ++seen_) {
       const SentAttempt& sent = simulation_.port.sent[seen_];
@@ -139,7 +140,8 @@
                                                AttemptFailure::kBroken);
         return;
       case 1:
-        // Only an attempt without a part of its answer can answer this.
+        // An attempt that has sent a part of its answer cannot answer with an
+        // error.
         if (!HasStreamed(attempt)) {
           attempt.over = true;
           simulation_.Answer(attempt.sent, 500, "error");
@@ -210,7 +212,7 @@
 
 }  // namespace
 
-// Servers refuse, disconnect, become silent and answer in any order; clients
+// Servers refuse, disconnect, stop sending and answer in any order; clients
 // leave; time passes. Guards against a second run of work that may run only
 // once, a wrong "not run", requests without exactly one final answer, and
 // answers of other requests or with a gap.
--- a/test/forward/request_age_estimator_test.cc
+++ b/test/forward/request_age_estimator_test.cc
@@ -10,7 +10,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// The time left of a first attempt: clients wait some ten seconds.
+/// Returns the time left of a first attempt: clients wait some ten seconds.
 Duration FirstAttemptTimeLeft(std::mt19937& random) {
   return milliseconds(std::uniform_int_distribution(8500, 10'000)(random));
 }
--- a/test/forward/scheduler_harness.h
+++ b/test/forward/scheduler_harness.h
@@ -11,7 +11,7 @@
 
 /// Scheduler under a virtual clock that records its grants.
 struct SchedulerHarness {
-  /// @return "none" for a request that has not been granted
+  /// @return the server, or "none" for a request that has not been granted
   std::string ServerOf(AttemptId attempt) const {
     const auto found = granted.find(attempt);
     return found == granted.end() ? "none" : found->second;
--- a/test/forward/server_directory_test.cc
+++ b/test/forward/server_directory_test.cc
@@ -67,7 +67,7 @@
 // The list entries of live servers expire while the store is unavailable, so
 // the list is empty when it returns. The servers must stay usable until they
 // have had time to be listed again.
-BOOST_AUTO_TEST_CASE(ServersLapsedInOutageAreKeptUntilRelisted) {
+BOOST_AUTO_TEST_CASE(ServersExpiredInOutageAreKeptUntilRelisted) {
   ServerDirectory directory({.relist_timeout = milliseconds(1900)});
   directory.ApplyList({Server("a"), Server("b")}, kStart);
   directory.OnOutage();
@@ -94,7 +94,7 @@
   BOOST_TEST(directory.Usable("s").size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(RemovalAfterOutageIsTreatedAsLapse) {
+BOOST_AUTO_TEST_CASE(RemovalAfterOutageIsTreatedAsExpiry) {
   ServerDirectory directory({.relist_timeout = milliseconds(1900)});
   directory.ApplyList({Server("a")}, kStart);
   directory.OnOutage();
