--- a/lavenderkeel/base/clock.h
+++ b/lavenderkeel/base/clock.h
@@ -9,7 +9,7 @@
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 using WallTime = std::chrono::time_point<std::chrono::system_clock, Duration>;
 
-/// Source of time for everything that makes decisions.
+/// Source of time for all components that make decisions.
 ///
 /// Daemons pass a SystemClock, tests and the fuzzer a clock that they control.
 class Clock {
--- a/lavenderkeel/base/event_log.h
+++ b/lavenderkeel/base/event_log.h
@@ -48,8 +48,8 @@
     Write(LogLevel::kWarning, event, fields);
   }
 
-  /// True if lines of this level are written; a caller may skip building a
-  /// costly field otherwise.
+  /// Returns true if lines of this level are written; a caller may skip
+  /// building a costly field otherwise.
   bool enabled(LogLevel level) const { return sink_ && level >= min_level_; }
 
  private:
--- a/lavenderkeel/claim/claim.h
+++ b/lavenderkeel/claim/claim.h
@@ -10,8 +10,7 @@
 
 namespace lavenderkeel {
 
-/// How far the platform takes part in deciding a claim. The values are on the
-/// wire.
+/// State of the platform's decision on a claim. The values are on the wire.
 enum class ClaimStatus : uint8_t {
   /// The platform is not involved, or granted the key to the owner.
   kPlain = 0,
@@ -35,12 +34,13 @@
   /// Hash of the body as sent; a request with the same key and another body is
   /// refused.
   uint64_t body_hash = 0;
-  /// The agents that the owner may send the request to. After the death of the
-  /// owner they are asked whether they have the request.
+  /// The agents that the owner may send the request to. After the loss of the
+  /// owner, the entry that takes the claim over asks them whether they have the
+  /// request.
   std::vector<PeerId> agents;
-  /// The holder vouched that this is the first claim. Otherwise an earlier
-  /// claim may exist elsewhere, and the request may have run even if no agent
-  /// of this claim has it.
+  /// This is certainly the first claim: a holder vouched for the key, or the
+  /// platform granted it. Otherwise an earlier claim may exist elsewhere, and
+  /// the request may have run even if no agent of this claim has it.
   bool confirmed = false;
   ClaimStatus status = ClaimStatus::kPlain;
 
--- a/lavenderkeel/claim/claim_table.cc
+++ b/lavenderkeel/claim/claim_table.cc
@@ -38,9 +38,9 @@
   }
   const bool vouched = CanVouchFor(key);
   // A claim that awaits the platform's decision is not confirmed here. If the
-  // platform refuses the owner and the owner dies, the entry that takes over a
-  // confirmed claim would start the request a second time. The owner confirms
-  // the claim once the platform has granted the key.
+  // platform refuses the owner and the owner then crashes, the entry that takes
+  // over a confirmed claim would start the request a second time. The owner
+  // confirms the claim once the platform has granted the key.
   const bool is_decided = wanted.confirmed || coverage == HolderCoverage::kFull;
   const ClaimStatus status =
       is_decided ? wanted.status
@@ -72,7 +72,7 @@
   if (owner == wanted.owner) {
     return true;
   }
-  // The owner may be alive but cut off from the entry that takes the claim
+  // The owner may be running but cut off from the entry that takes the claim
   // over, and may add agents after that entry has read the claim. Those agents
   // were not asked, so the request would be started both at one of them and by
   // the new owner. The take-over is refused, and the entry reads the claim
@@ -161,8 +161,8 @@
   // An earlier claim may be missing here if this entry started, was frozen or
   // dropped claims after the key was first sent; calling such a key unused
   // would run the request a second time. The key carries the time when it was
-  // first sent, which reveals the case; the skew covers callers whose clock
-  // runs ahead.
+  // first sent, so such keys are recognised; the skew covers callers whose
+  // clock runs ahead.
   const WallTime oldest =
       std::max(claims_complete_since_, clock_.WallNow() - options_.retention);
   return key.first_sent() > oldest + options_.clock_skew &&
--- a/lavenderkeel/claim/claim_table.h
+++ b/lavenderkeel/claim/claim_table.h
@@ -15,7 +15,11 @@
 
 namespace lavenderkeel {
 
-/// Claims that this entry stores for itself and for other entries.
+/// Table of the claims that this entry stores as a holder of their keys.
+///
+/// Each key has two holders, see HolderRanking. An entry that wants to own a
+/// key asks both. A holder vouches for a key if every earlier claim on it would
+/// be in its table: only then does a missing claim mean that the key is unused.
 class ClaimTable {
  public:
   struct Options {
@@ -26,14 +30,15 @@
     Duration clock_skew = std::chrono::seconds(1);
   };
 
+  /// Answer of a holder to a request or a lookup.
   struct Answer {
     bool granted = false;
-    /// No entry can have claimed the key before without the knowledge of this
-    /// entry.
+    /// Every earlier claim on the key would be in this table.
     bool vouched = false;
     /// The claim that is now stored.
     Claim claim;
-    /// How much of the holders this entry's view covers.
+    /// Whether the holders that this entry can reach know of every claim on the
+    /// key.
     HolderCoverage coverage = HolderCoverage::kFull;
     /// The request added information that was not stored here before.
     bool changed = false;
@@ -45,7 +50,7 @@
   /// was sent to it.
   using KnowsEveryClaim = std::function<bool(const RequestKey&)>;
 
-  /// Returns what the reachable holders of a key know together.
+  /// Returns whether the reachable holders of a key know of every claim on it.
   using CoverageOf = std::function<HolderCoverage(const RequestKey&)>;
 
   /// @param coverage_of if empty, always HolderCoverage::kFull
@@ -78,8 +83,8 @@
       const std::function<void(const RequestKey&, const Claim&)>& visit) const;
 
   bool CanVouchFor(const RequestKey& key) const;
-  /// From this time on this entry can vouch for new keys, also those dated by
-  /// the slowest clock.
+  /// Returns the time from which this entry can vouch for new keys, including
+  /// those dated by the slowest clock.
   WallTime vouches_from() const {
     return claims_complete_since_ + options_.clock_skew;
   }
@@ -114,6 +119,7 @@
   const Clock& clock_;
   KnowsEveryClaim knows_every_claim_;
   CoverageOf coverage_of_;
+  /// Claims made before this time may be missing from the table.
   WallTime claims_complete_since_;
   std::unordered_map<RequestKey, StoredClaim, RequestKeyHash> claims_;
   PeerPool peers_;
--- a/lavenderkeel/claim/claimer.cc
+++ b/lavenderkeel/claim/claimer.cc
@@ -34,10 +34,11 @@
 
 bool Claimer::ChooseHolders(Operation& operation) {
   // If an entry that has just started claimed keys only at the holders that it
-  // has connected to so far, the other holders could not vouch for older keys,
-  // and all callers of that second would get "unknown". The entry claims
-  // nothing before it has connected to all entries, so that none of them has
-  // missed a claim.
+  // has connected to so far, the holders that it connects to later would have
+  // missed these claims. They could not vouch for keys first sent before they
+  // connected, and all callers of that second would get "unknown". The entry
+  // claims nothing before it has connected to all entries, so that none of them
+  // has missed a claim.
   if (!hooks_.may_claim()) {
     return false;
   }
@@ -146,8 +147,8 @@
     return false;
   }
   // A holder that lost its state may have granted the key to an entry that then
-  // learnt of an earlier claim from the other holder, and died. That claim must
-  // not hide the earlier one, or the request runs again: a claim that its
+  // learnt of an earlier claim from the other holder, and crashed. That claim
+  // must not hide the earlier one, or the request runs again: a claim that its
   // holder could not vouch for does not end the search.
   operation.result.claim = answer.claim;
   operation.result.kind = ClaimResult::Kind::kHeld;
@@ -161,14 +162,14 @@
   const bool is_held = result.kind == ClaimResult::Kind::kHeld;
   // Two entries that started together may not know each other yet, and one of
   // them vouches although it does not receive the other's claims; both would
-  // run the request. A claim of an unknown entry shows that this view is too
-  // small to vouch from.
+  // run the request. A claim of an unknown entry shows that the view of this
+  // entry is incomplete, so the key does not count as vouched for.
   const bool owner_unknown =
       is_held && result.claim.owner != members_.self().id &&
       members_.Find(result.claim.owner.instance) == nullptr;
   if (!(is_held && result.claim.confirmed) && !owner_unknown &&
       result.vouched) {
-    // A holder that knows of every claim knew of none before this one.
+    // A holder that would know of any earlier claim knows of none.
     result.kind = ClaimResult::Kind::kGranted;
   }
 }
--- a/lavenderkeel/claim/claimer.h
+++ b/lavenderkeel/claim/claimer.h
@@ -32,15 +32,17 @@
   /// The lowest coverage of this entry and the holders that answered. Below
   /// kFull, an entry that is cut off from this one may own the key.
   HolderCoverage coverage = HolderCoverage::kFull;
-  /// A holder has a claim of another entry that the platform decides.
+  /// A holder stores a claim of another entry that awaits the platform's
+  /// decision.
   bool contested = false;
   Claim claim;
 };
 
-/// Claims keys at their holders on behalf of this entry.
+/// Client of the claim tables: claims keys for this entry at their holders.
 ///
-/// The holders are asked one after the other, first holder first: asked at
-/// once, two entries with the same key could each win one holder.
+/// The holders are asked one after the other, first holder first. If they were
+/// asked at the same time, two entries that claim the same key could each be
+/// granted it by one holder.
 class Claimer {
  public:
   using Done = std::function<void(const RequestKey&, const ClaimResult&)>;
@@ -61,7 +63,7 @@
 
   /// @param replaces an owner whose claim does not count: it may be reassigned,
   ///     see ClaimTable::Request, and a lookup ignores it
-  /// @param lookup only ask, claim nothing
+  /// @param lookup if true, looks the claim up without claiming the key
   void Start(const RequestKey& key,
              const Claim& wanted,
              const PeerId& replaces,
--- a/lavenderkeel/claim/key_arbiter.h
+++ b/lavenderkeel/claim/key_arbiter.h
@@ -15,24 +15,24 @@
 
 namespace lavenderkeel {
 
-/// Lets the platform decide which entry owns a key where the holders cannot:
-/// with one object per key, created by the first entry that asks and never
-/// again.
+/// Arbiter of keys whose holders cannot decide which entry owns them. The owner
+/// is the entry that creates the key's object at the platform, which accepts
+/// only the first creation.
 ///
-/// A holder without contact cannot be told from one that is gone. Without the
-/// platform, new keys would be answered "unknown" for as long as claims are
-/// kept; with a guess, entries on both sides of a partition would start the
-/// request. The platform creates an object once, whichever entry asks and from
-/// whichever side.
+/// A holder that is cut off cannot be distinguished from one that has crashed.
+/// Without the platform, new keys of such a holder would be answered "unknown"
+/// for as long as claims are kept; if the entries guessed, those on both sides
+/// of a partition would start the request. The platform creates an object only
+/// once, whichever entry asks and from whichever side.
 class KeyArbiter {
  public:
   struct Options {
     /// Limit on keys that wait for the platform at a time; keys beyond it are
-    /// undecided. The write rate of the platform is reserved for configuration
-    /// first.
+    /// undecided. Configuration changes come first in the platform's limited
+    /// write rate.
     size_t max_pending_keys = 100;
-    /// How long keys are undecided at once after a failed call: a caller gains
-    /// nothing by waiting for an unavailable platform.
+    /// Time after a failed call in which keys are undecided without a call: a
+    /// caller gains nothing by waiting for an unavailable platform.
     Duration pause_after_failure = std::chrono::seconds(1);
     /// How long an object is kept; longer than the retention time of claims,
     /// after which no entry vouches for the key.
--- a/lavenderkeel/config/config_commit.cc
+++ b/lavenderkeel/config/config_commit.cc
@@ -158,8 +158,8 @@
   if (reply.precondition_failed() || in_doubt_) {
     // The answer to an earlier attempt may have been lost after the write took
     // effect. The 412 is then due to this very change, and the operator must
-    // not be told that another change came first. The change ids in the head
-    // tell the two cases apart.
+    // not get the answer that another change came first. The change ids in the
+    // head distinguish the two cases.
     Confirm();
     return;
   }
--- a/lavenderkeel/config/config_distributor.h
+++ b/lavenderkeel/config/config_distributor.h
@@ -15,8 +15,8 @@
 
 namespace lavenderkeel {
 
-/// Obtains the newest accepted configuration for this entry and distributes it
-/// to others.
+/// Distributor of the configuration: obtains the newest accepted version for
+/// this entry and passes it on to others.
 ///
 /// There are three ways: the entry that accepts a change pushes the head, each
 /// heartbeat carries the version so that entries with an older one pull, and a
--- a/lavenderkeel/config/json_reader.h
+++ b/lavenderkeel/config/json_reader.h
@@ -24,8 +24,8 @@
 /// Parses JSON text; fails with kMalformedJson and the position of the fault.
 leaf::result<boost::json::value> ParseJson(const std::string& text);
 
-/// Reads one JSON object and records each fault with its path, so that an
-/// operator sees all of them at once.
+/// Reader of one JSON object that records each fault with its path, so that an
+/// operator sees all faults at once.
 class JsonReader {
  public:
   struct StringRule {
--- a/lavenderkeel/forward/forward_controller.cc
+++ b/lavenderkeel/forward/forward_controller.cc
@@ -660,7 +660,7 @@
 
 void ForwardController::FinishStream(ForwardedRequest& request) {
   // A server may end its answer properly in the middle of an event.
-  if (request.events.has_part() || !request.head_sent) {
+  if (request.events.has_incomplete_event() || !request.head_sent) {
     // An answer without a length ends with its connection.
     const bool closed =
         request.answer_head->framing == BodyFraming::kUntilClose;
--- a/lavenderkeel/http/event_stream.h
+++ b/lavenderkeel/http/event_stream.h
@@ -17,7 +17,7 @@
   friend bool operator==(const StreamEvent&, const StreamEvent&) = default;
 };
 
-/// Splits the body of a `text/event-stream` into whole events.
+/// Reader that splits the body of a `text/event-stream` into whole events.
 ///
 /// A server may stop in the middle of an event. Only whole events are
 /// forwarded, so that a run resumed on another server continues exactly after
@@ -29,9 +29,9 @@
   /// Returns the next whole event, or nothing until more bytes arrive.
   std::optional<StreamEvent> Next();
 
-  /// True if bytes of an incomplete event remain: the stream is not at an event
-  /// boundary.
-  bool has_part() const { return !pending_.empty(); }
+  /// Returns true if bytes of an incomplete event remain: the stream is not at
+  /// an event boundary.
+  bool has_incomplete_event() const { return !pending_.empty(); }
 
  private:
   std::string pending_;
--- a/lavenderkeel/http/message_head.h
+++ b/lavenderkeel/http/message_head.h
@@ -24,7 +24,7 @@
 /// Returns the value of the first field of that name, or null.
 const std::string* FindField(const HttpFields& fields, std::string_view name);
 
-/// True if the comma-separated list of a field's values has the token.
+/// Returns true if the comma-separated list of a field's values has the token.
 bool FieldHasToken(const HttpFields& fields,
                    std::string_view name,
                    std::string_view token);
--- a/lavenderkeel/http/message_reader.h
+++ b/lavenderkeel/http/message_reader.h
@@ -12,8 +12,8 @@
 
 namespace lavenderkeel {
 
-/// Reasons why a message can't be read any further. The connection has lost its
-/// framing then.
+/// Reason why a message can't be read any further. Later messages of the
+/// connection can't be read either, since its framing is lost.
 enum class ReadFault {
   kNone,
   kMalformed,
@@ -54,7 +54,7 @@
   bool head_done() const;
   bool done() const;
   ReadFault fault() const;
-  /// True once any byte of the message has arrived.
+  /// Returns true once any byte of the message has arrived.
   bool started() const;
   /// Valid once head_done().
   const Head& head() const;
--- a/lavenderkeel/io/action_runner.h
+++ b/lavenderkeel/io/action_runner.h
@@ -9,7 +9,7 @@
 
 namespace lavenderkeel {
 
-/// Executes the actions of an outbox until it stays empty.
+/// Executor of the actions of an outbox, until the outbox stays empty.
 ///
 /// An action may cause further events, and these may cause further actions; the
 /// outermost call executes all of them in order.
--- a/lavenderkeel/io/entry_daemon.cc
+++ b/lavenderkeel/io/entry_daemon.cc
@@ -87,7 +87,7 @@
   ExecuteActions();
   // Connections made before the stop may still be unread. If the process ended
   // now, their callers would see a reset and could not tell whether their
-  // requests ran. The entry therefore goes on answering "leaving" until the
+  // requests ran. The entry therefore continues to answer "leaving" until the
   // balancer has stopped sending.
   constexpr Duration kQuietTime = std::chrono::milliseconds(500);
   const bool quiet = clock_.Now() - last_request_ > kQuietTime;
--- a/lavenderkeel/io/forward_daemon.cc
+++ b/lavenderkeel/io/forward_daemon.cc
@@ -21,7 +21,7 @@
 
 /// Time after the request to stop in which new requests are accepted. The
 /// balancer checks readiness once a second and needs two refusals; where no
-/// other entry is near, it goes on sending until the port is closed. Streams
+/// other entry is near, it continues to send until the port is closed. Streams
 /// last up to several seconds, so a later request could not finish before the
 /// process is killed.
 constexpr Duration kAcceptTimeAfterStop = std::chrono::milliseconds(2700);
--- a/lavenderkeel/io/http_server.cc
+++ b/lavenderkeel/io/http_server.cc
@@ -135,8 +135,8 @@
   evhttp_connection_set_closecb(
       exchange->connection,
       [](evhttp_connection*, void* arg) {
-        auto* gone = static_cast<Exchange*>(arg);
-        gone->server->OnClosed(gone->id);
+        auto* closed = static_cast<Exchange*>(arg);
+        closed->server->OnClosed(closed->id);
       },
       exchange.get());
   // libevent does not read while an answer is pending, so it would not notice
@@ -150,8 +150,8 @@
   exchange->close_event = event_new(
       loop_.base(), fd, EV_CLOSED,
       [](evutil_socket_t, short, void* arg) {
-        auto* gone = static_cast<Exchange*>(arg);
-        evhttp_connection_free(gone->connection);
+        auto* closed = static_cast<Exchange*>(arg);
+        evhttp_connection_free(closed->connection);
       },
       exchange.get());
   event_add(exchange->close_event, nullptr);
@@ -289,7 +289,7 @@
   if (exchange == nullptr) {
     return;
   }
-  // The exchange lives as long as its connection, which is freed in the next
+  // The exchange exists as long as its connection, which is freed in the next
   // iteration of the event loop, and whichever of the two ends first ends both.
   // If the exchange were erased here, the process would end by a segmentation
   // fault under many aborts: in between, libevent reports the last chunk as
--- a/lavenderkeel/io/peer_port.cc
+++ b/lavenderkeel/io/peer_port.cc
@@ -26,7 +26,7 @@
   bufferevent* events = nullptr;
   /// Empty for an accepted connection.
   std::string dialed;
-  bool greeted = false;
+  bool handshake_done = false;
   /// True once the connection is dropped; it is freed after the current event.
   bool dropped = false;
   TimePoint opened;
@@ -53,8 +53,8 @@
 }
 
 void PeerPort::Accept(int socket) {
-  if (ungreeted_ >= options_.max_ungreeted) {
-    // Peers that connect without a greeting must not exhaust the file
+  if (pending_handshakes_ >= options_.max_pending_handshakes) {
+    // Peers that connect without a handshake must not exhaust the file
     // descriptors.
     evutil_closesocket(socket);
     return;
@@ -73,7 +73,7 @@
   opened.dialed = dialed;
   opened.opened = SystemClock().Now();
   connections_[id] = std::move(connection);
-  ++ungreeted_;
+  ++pending_handshakes_;
   bufferevent_setcb(
       events,
       [](bufferevent*, void* arg) {
@@ -147,7 +147,7 @@
     Drop(link, std::string(Describe(message.failure.code).name));
     return false;
   }
-  if (!connection.greeted) {
+  if (!connection.handshake_done) {
     return OnHello(connection, *message.value);
   }
   signal_message_.emit(link, *message.value);
@@ -163,8 +163,8 @@
     Drop(link, usable ? "protocol_version" : "bad_frame");
     return false;
   }
-  connection.greeted = true;
-  --ungreeted_;
+  connection.handshake_done = true;
+  --pending_handshakes_;
   signal_up_.emit(link, FromHello(*hello), connection.dialed);
   return connections_.contains(link) && !connection.dropped;
 }
@@ -191,7 +191,7 @@
   }
   // The node itself closes the link, so signal_down is not emitted.
   Connection& connection = *found->second;
-  ungreeted_ -= connection.greeted ? 0 : 1;
+  pending_handshakes_ -= connection.handshake_done ? 0 : 1;
   connection.dropped = true;
   bufferevent_disable(connection.events, EV_READ | EV_WRITE);
   loop_.Defer([this, link = close.link] { connections_.erase(link); });
@@ -222,16 +222,16 @@
   }
   Connection& connection = *found->second;
   connection.dropped = true;
-  const bool greeted = connection.greeted;
+  const bool handshake_done = connection.handshake_done;
   const std::string dialed = connection.dialed;
-  ungreeted_ -= greeted ? 0 : 1;
+  pending_handshakes_ -= handshake_done ? 0 : 1;
   bufferevent_disable(connection.events, EV_READ | EV_WRITE);
   loop_.Defer([this, link] { connections_.erase(link); });
   if (why != "closed") {
     log_.Warn("peer_dropped",
               {{"link", link}, {"dialed", dialed}, {"reason", why}});
   }
-  if (greeted) {
+  if (handshake_done) {
     signal_down_.emit(link);
   } else if (!dialed.empty()) {
     signal_dial_failed_.emit(dialed);
@@ -252,8 +252,8 @@
 void PeerPort::Tick(TimePoint now) {
   std::vector<LinkId> overdue;
   for (const auto& [link, connection] : connections_) {
-    if (!connection->greeted && !connection->dropped &&
-        now - connection->opened > options_.greeting_timeout) {
+    if (!connection->handshake_done && !connection->dropped &&
+        now - connection->opened > options_.handshake_timeout) {
       overdue.push_back(link);
     }
   }
--- a/lavenderkeel/io/peer_port.h
+++ b/lavenderkeel/io/peer_port.h
@@ -18,18 +18,18 @@
 
 namespace lavenderkeel {
 
-/// Framed TCP connections to other processes: listens, dials and exchanges
-/// greetings.
+/// Framed TCP connections to other processes: listens, dials and performs
+/// handshakes.
 class PeerPort {
  public:
   struct Options {
-    Duration greeting_timeout = std::chrono::seconds(3);
+    Duration handshake_timeout = std::chrono::seconds(3);
     /// Unsent bytes to one peer above which its connection is dropped.
     size_t max_unsent_bytes = size_t{64} << 20;
-    size_t max_ungreeted = 1024;
+    size_t max_pending_handshakes = 1024;
   };
 
-  /// @param self identity that this process sends in its greeting
+  /// @param self identity that this process sends in its handshake
   PeerPort(EventLoop& loop,
            Options options,
            const InstanceInfo& self,
@@ -43,10 +43,10 @@
   void Handle(const SendMessage& send);
   void Handle(const CloseLink& close);
   void Handle(const Dial& dial);
-  /// Drops connections whose greeting is overdue.
+  /// Drops connections whose handshake is overdue.
   void Tick(TimePoint now);
 
-  /// Emitted once the greetings are exchanged. The last argument is the address
+  /// Emitted once the handshake is complete. The last argument is the address
   /// that was dialled.
   sigc::signal<void(LinkId, const InstanceInfo&, const std::string&)>&
   signal_up() {
@@ -83,7 +83,7 @@
   const EventLog& log_;
   evconnlistener* listener_ = nullptr;
   LinkId last_ = 0;
-  size_t ungreeted_ = 0;
+  size_t pending_handshakes_ = 0;
   std::unordered_map<LinkId, std::unique_ptr<Connection>> connections_;
   uint64_t bytes_sent_ = 0;
   uint64_t bytes_received_ = 0;
--- a/lavenderkeel/io/platform_client.h
+++ b/lavenderkeel/io/platform_client.h
@@ -10,7 +10,7 @@
 
 namespace lavenderkeel {
 
-/// Executes PlatformCall actions over HTTP.
+/// Executor of PlatformCall actions over HTTP.
 class PlatformClient {
  public:
   using OnReply = std::function<void(PlatformCallId, const PlatformReply&)>;
--- a/lavenderkeel/io/server_client.h
+++ b/lavenderkeel/io/server_client.h
@@ -11,8 +11,8 @@
 
 namespace lavenderkeel {
 
-/// Executes ServerStart, ServerResume and ServerCancel actions at one backend
-/// server over HTTP, and parses its event streams.
+/// Executor of ServerStart, ServerResume and ServerCancel actions at one
+/// backend server over HTTP; parses the event streams of its answers.
 class ServerClient {
  public:
   /// @param execute_actions called after events are passed on
--- a/lavenderkeel/io/upstream_port.cc
+++ b/lavenderkeel/io/upstream_port.cc
@@ -327,10 +327,10 @@
   // The object is freed only after the current event.
   bufferevent_setcb(connection.events, nullptr, nullptr, nullptr, nullptr);
   bufferevent_free(std::exchange(connection.events, nullptr));
-  auto dead =
+  auto closed =
       std::make_shared<std::unique_ptr<Connection>>(std::move(found->second));
   connections_.erase(found);
-  loop_.Defer([dead] {});
+  loop_.Defer([closed] {});
 }
 
 void UpstreamPort::Tick() {
--- a/lavenderkeel/membership/coordinators.h
+++ b/lavenderkeel/membership/coordinators.h
@@ -19,7 +19,8 @@
 /// as there are coordinators, however large the fleet is.
 struct CoordinatorRules {
   /// More coordinators bring no speed-up: there are fewer groups of servers
-  /// than that, and each group has its slot scheduler at one coordinator.
+  /// than this maximum, and each group has its slot scheduler at one
+  /// coordinator.
   size_t max = 16;
   /// The loss of two at a time must leave some that all entries are connected
   /// to.
--- a/lavenderkeel/membership/holder_coverage.h
+++ b/lavenderkeel/membership/holder_coverage.h
@@ -10,11 +10,12 @@
 /// are on the wire; a higher one covers less.
 enum class HolderCoverage : uint8_t {
   kFull = 0,
-  /// One holder was lost and may be alive but cut off from here. Both sides
-  /// know the same entries, so each side knows that the other may own the key,
-  /// and neither starts the request without the decision of the platform.
+  /// One holder was lost and may be running but cut off from here, or was
+  /// replaced after the key was first sent. Both sides know the same entries,
+  /// so each side knows that the other may own the key, and neither starts the
+  /// request without the decision of the platform.
   kPlatformDecides = 1,
-  /// No reachable entry can tell.
+  /// No reachable entry can tell whether a claim exists.
   kNone = 2,
 };
 
--- a/lavenderkeel/membership/holder_ranking.cc
+++ b/lavenderkeel/membership/holder_ranking.cc
@@ -36,8 +36,8 @@
   }
   if (lost->second.incarnation == peer.incarnation) {
     lost_.erase(lost);
-  } else if (lost->second.may_be_alive) {
-    lost->second.may_be_alive = false;
+  } else if (lost->second.may_be_running) {
+    lost->second.may_be_running = false;
     lost->second.replaced_at = now;
   }
 }
@@ -71,7 +71,7 @@
 }
 
 uint64_t HolderRanking::KnownEntriesHash() const {
-  Names names = PresentAndMaybeAlive();
+  Names names = PresentAndMaybeRunning();
   std::ranges::sort(names);
   uint64_t hash = 0;
   for (const std::string& name : names) {
@@ -98,33 +98,33 @@
 }
 
 HolderCoverage HolderRanking::Coverage(const RequestKey& key) const {
-  size_t maybe_alive_holders = 0;
+  size_t maybe_running_holders = 0;
   bool has_replaced_holder = false;
   for (const auto& [name, loss] : lost_) {
-    if (loss.may_be_alive) {
-      maybe_alive_holders += MayBeHolder(name, loss, key) ? 1 : 0;
+    if (loss.may_be_running) {
+      maybe_running_holders += MayBeHolder(name, loss, key) ? 1 : 0;
       continue;
     }
     // While it was cut off, the lost entry may have been granted the key by the
-    // platform, run the request and died; its successor is connected here. No
-    // reachable entry has a claim on the key, so the request would run again.
-    // The platform therefore also decides keys older than the successor.
+    // platform, run the request and crashed; its successor is connected here.
+    // No reachable entry has a claim on the key, so the request would run
+    // again. The platform therefore also decides keys older than the successor.
     const bool is_older =
         key.first_sent() <= loss.replaced_at + options_.clock_skew;
     has_replaced_holder |= is_older && MayBeHolder(name, loss, key);
   }
-  if (maybe_alive_holders > 1 ||
-      (maybe_alive_holders == 1 && !AllHaveSameView())) {
+  if (maybe_running_holders > 1 ||
+      (maybe_running_holders == 1 && !AllHaveSameView())) {
     return HolderCoverage::kNone;
   }
-  return maybe_alive_holders == 1 || has_replaced_holder
+  return maybe_running_holders == 1 || has_replaced_holder
              ? HolderCoverage::kPlatformDecides
              : HolderCoverage::kFull;
 }
 
 bool HolderRanking::HasUnconfirmedLoss() const {
   return std::ranges::any_of(
-      lost_, [](const auto& item) { return item.second.may_be_alive; });
+      lost_, [](const auto& item) { return item.second.may_be_running; });
 }
 
 bool HolderRanking::MayBeHolder(const std::string& instance,
@@ -141,7 +141,7 @@
   // An entry that joins after the loss replaces the lost one among the holders
   // here, but not in the view of the lost one, so the request could be started
   // on both sides of a partition. Both views count.
-  return {TopHolders(key, PresentMaybeAliveAnd(loss)),
+  return {TopHolders(key, PresentMaybeRunningAnd(loss)),
           TopHolders(key, NamesKnownTo(loss))};
 }
 
@@ -163,17 +163,17 @@
   // to learn of.
   const WallTime latest =
       loss.had_same_view ? loss.lost_at : loss.lost_at - options_.settle_time;
-  Names names = PresentMaybeAliveAnd(loss);
+  Names names = PresentMaybeRunningAnd(loss);
   std::erase_if(names, [&](const std::string& name) {
     return !lost_.contains(name) && known_since_.at(name) > latest;
   });
   return names;
 }
 
-HolderRanking::Names HolderRanking::PresentMaybeAliveAnd(
+HolderRanking::Names HolderRanking::PresentMaybeRunningAnd(
     const LostEntry& loss) const {
   return PresentAndLost([&loss](const LostEntry& other) {
-    return other.may_be_alive || &other == &loss;
+    return other.may_be_running || &other == &loss;
   });
 }
 
@@ -185,7 +185,7 @@
       });
   return present_have_same_view &&
          std::ranges::all_of(lost_, [](const auto& item) {
-           return !item.second.may_be_alive || item.second.had_same_view;
+           return !item.second.may_be_running || item.second.had_same_view;
          });
 }
 
@@ -197,9 +197,9 @@
   });
 }
 
-HolderRanking::Names HolderRanking::PresentAndMaybeAlive() const {
+HolderRanking::Names HolderRanking::PresentAndMaybeRunning() const {
   return PresentAndLost(
-      [](const LostEntry& loss) { return loss.may_be_alive; });
+      [](const LostEntry& loss) { return loss.may_be_running; });
 }
 
 HolderRanking::Names HolderRanking::PresentAndLost(
--- a/lavenderkeel/membership/holder_ranking.h
+++ b/lavenderkeel/membership/holder_ranking.h
@@ -15,12 +15,13 @@
 
 namespace lavenderkeel {
 
-/// Ranks the entries of a region for a request key, and remembers lost entries.
+/// Ranking of a region's entries for each request key, with the entries lost.
+/// The first two are the holders of the key, which store the claims on it.
 ///
-/// After the death of both holders of a claim, the next two in rank are asked,
+/// After the loss of both holders of a claim, the next two in rank are asked,
 /// which never received the claim; if they called the key unused, a retry would
 /// run a second time. An entry may therefore vouch only if it ranks among the
-/// first two of the live entries *and* of those lost since the key was first
+/// first two of the present entries *and* of those lost since the key was first
 /// sent: then every claim made since, by any entry that knew the vouching one,
 /// was sent to it too.
 class HolderRanking {
@@ -37,22 +38,21 @@
 
   explicit HolderRanking(Options options) : options_(options) {}
 
-  /// Sets this process itself, which sends itself no reports.
+  /// Sets the entry of this process, for which no report is expected.
   void SetSelf(const PeerId& self, WallTime now);
   /// Marks an entry as present: linked, or without contact for less than the
   /// heartbeat timeout.
   void SetPresent(const PeerId& peer, WallTime now);
   /// Marks an entry as lost without a hand-over of its claims.
   void SetLost(const PeerId& peer, WallTime now);
-  /// Removes an entry that left in order and handed its claims over. An earlier
-  /// incarnation that was lost stays remembered: its claims are gone all the
-  /// same.
+  /// Removes an entry that left in order and handed its claims over. The loss
+  /// of an earlier incarnation stays recorded, since its claims remain lost.
   void SetLeft(const std::string& instance);
   /// Records which entries a present entry knows; see KnownEntriesHash.
   void SetReport(const PeerId& peer, uint64_t known_entries);
 
   /// Returns a hash of the names of all known entries: those present, and those
-  /// lost that may be alive.
+  /// lost that may be running.
   uint64_t KnownEntriesHash() const;
 
   /// Returns the holders of a key among the present entries, first holder
@@ -65,14 +65,14 @@
                        const RequestKey& key) const;
 
   /// Returns whether the reachable holders know of every claim on the key,
-  /// including those that a lost entry, cut off but alive, may have granted.
+  /// including those that a lost entry, cut off but running, may have granted.
   HolderCoverage Coverage(const RequestKey& key) const;
 
-  /// Returns true if a lost entry may be alive.
+  /// Returns true if a lost entry may be running.
   bool HasUnconfirmedLoss() const;
 
-  /// Returns true if `instance` ranks beside each lost holder of the key, and
-  /// so received every claim that both of them granted together.
+  /// Returns true if `instance` is the other holder beside each lost holder of
+  /// the key, and so received every claim that the two granted together.
   bool IsCoHolderWithLost(const std::string& instance,
                           const RequestKey& key) const;
 
@@ -92,12 +92,12 @@
   struct LostEntry {
     uint64_t incarnation = 0;
     WallTime lost_at;
-    /// Possibly cut off rather than dead.
-    bool may_be_alive = true;
+    /// Possibly cut off and still running.
+    bool may_be_running = true;
     /// When a successor connected, after which the lost entry cannot have
     /// granted a claim.
     WallTime replaced_at = WallTime::max();
-    /// It knew the same entries as this one when it was last heard from.
+    /// The lost entry knew the same entries as this one in its last report.
     bool had_same_view = false;
   };
   using LostFilter = std::function<bool(const LostEntry&)>;
@@ -107,26 +107,27 @@
   }
   /// Names of the present entries and of the lost ones that the filter accepts.
   Names PresentAndLost(const LostFilter& filter) const;
-  Names PresentAndMaybeAlive() const;
-  Names PresentMaybeAliveAnd(const LostEntry& loss) const;
+  Names PresentAndMaybeRunning() const;
+  Names PresentMaybeRunningAnd(const LostEntry& loss) const;
   /// Names of the entries that a lost entry is sure to know.
   Names NamesKnownTo(const LostEntry& loss) const;
-  /// The first two in the lost entry's view and in the view of this entry.
+  /// Returns the two holders in the view of this entry, and those in the lost
+  /// entry's view.
   std::vector<Names> PossibleHolders(const LostEntry& loss,
                                      const RequestKey& key) const;
   /// Returns true if the lost entry may have been one of the two holders.
   bool MayBeHolder(const std::string& instance,
                    const LostEntry& loss,
                    const RequestKey& key) const;
-  /// Returns true if all present entries, and all lost ones that may be alive
-  /// as of their loss, know the same entries as this one.
+  /// Returns true if all present entries know the same entries as this one, and
+  /// all lost ones that may be running did so at the time of their loss.
   bool AllHaveSameView() const;
 
   Options options_;
   std::string self_;
   std::map<std::string, PresentEntry> present_;
   std::map<std::string, LostEntry> lost_;
-  /// Since when a name is known, whatever its incarnations.
+  /// Time since which a name is known, regardless of its incarnations.
   std::map<std::string, WallTime> known_since_;
 };
 
--- a/lavenderkeel/membership/member_table.cc
+++ b/lavenderkeel/membership/member_table.cc
@@ -27,14 +27,15 @@
   const auto known = members_.find(peer.id.instance);
   const bool is_self = peer.id.instance == self_.id.instance;
   // A frozen predecessor may resume and dial again under the same name; its
-  // state must not be taken for that of the live incarnation. Incarnations
+  // state must not be taken for that of the current incarnation. Incarnations
   // grow, so the lower number is refused.
-  const bool is_dead = known != members_.end() &&
-                       peer.id.incarnation < known->second.info.id.incarnation;
+  const bool is_former =
+      known != members_.end() &&
+      peer.id.incarnation < known->second.info.id.incarnation;
   if (is_self) {
     targets_.erase(dialed);
   }
-  if (is_self || is_dead) {
+  if (is_self || is_former) {
     outbox_.Push(CloseLink{.link = link});
     return false;
   }
@@ -50,8 +51,8 @@
                   .last_received = now,
                   .last_sent = now};
   link_slot = link;
-  // Sent at once: before it the peer knows neither the load nor the
-  // configuration version of this process.
+  // Sent at once, since the peer knows neither the load nor the configuration
+  // version of this process before the first heartbeat.
   outbox_.Send(link, make_heartbeat_());
   if (!outbound) {
     return true;
@@ -174,9 +175,9 @@
   }
   // An address that neither a seed nor the list names any more, and that does
   // not answer, belongs to an instance that was replaced. An instance that
-  // dialled this process is alive, whatever the list says: if it were forgotten
-  // before it is dialled back, it would count as lost for good, since no other
-  // instance would report it either.
+  // dialled this process is running, whatever the list says: if it were
+  // forgotten before it is dialled back, it would count as lost for good, since
+  // no other instance would report it either.
   std::erase_if(targets_, [&](const auto& item) {
     const auto& [address, target] = item;
     const Member* member = Find(target.instance);
@@ -234,17 +235,17 @@
   }
   DetectLost(now);
   DetectNeverConnected(now);
-  ForgetGoneMembers(now);
+  ForgetUnconnectedMembers(now);
   DialDueTargets(now);
 }
 
-void MemberTable::ForgetGoneMembers(TimePoint now) {
+void MemberTable::ForgetUnconnectedMembers(TimePoint now) {
   std::erase_if(members_, [&](const auto& item) {
     const Member& member = item.second;
     const bool linked =
         member.inbound.has_value() || member.outbound.has_value();
-    const bool gone = member.lost || !member.was_connected;
-    return gone && !linked &&
+    const bool unreachable = member.lost || !member.was_connected;
+    return unreachable && !linked &&
            now - *member.disconnected_since > options_.forget_after;
   });
 }
@@ -267,7 +268,8 @@
 void MemberTable::DetectLost(TimePoint now) {
   std::vector<std::pair<PeerId, Role>> lost;
   for (auto& [instance, member] : members_) {
-    // An entry that this process does not dial may only dial this process.
+    // An entry that this process does not dial may be linked only by its own
+    // dial, so a missing outbound link is no loss.
     const bool expected = member.was_connected ||
                           member.info.role != Role::kEntry ||
                           IsWantedEntry(instance);
--- a/lavenderkeel/membership/member_table.h
+++ b/lavenderkeel/membership/member_table.h
@@ -40,8 +40,8 @@
   bool live() const { return outbound.has_value() && has_heartbeat && !lost; }
 };
 
-/// Keeps the connections to the other processes and detects which of them are
-/// alive.
+/// Table of the other processes: keeps the connections to them and detects
+/// which are lost.
 ///
 /// The instance list of the platform lags, so it only gives hints which
 /// instances to dial; liveness is decided by heartbeats on direct connections.
@@ -58,7 +58,7 @@
     /// Entries of each other region that an entry keeps a connection to. In its
     /// own region it connects to all entries, for the claims.
     size_t entries_per_other_region = 2;
-    /// How long an instance that is gone is remembered.
+    /// How long an instance that was lost or never connected is remembered.
     Duration forget_after = std::chrono::minutes(15);
   };
 
@@ -79,7 +79,7 @@
                 const std::string& dialed);
   void OnLinkDown(LinkId link);
   void OnDialFailed(const std::string& address);
-  /// Handles any message: the link is alive.
+  /// Restarts the link's timeout; called for any message.
   void OnMessageReceived(LinkId link);
   void OnHeartbeat(LinkId link, const Heartbeat& heartbeat);
   void OnInstanceList(const std::vector<InstanceInfo>& instances);
@@ -128,18 +128,19 @@
 
   /// Emitted when an outbound link is up, for the first time or again.
   sigc::signal<void(const Member&)>& signal_up() { return signal_up_; }
-  /// Emitted when a link goes away, whichever side dropped it; FindByLink still
-  /// finds it.
+  /// Emitted when a link is dropped, by whichever side; FindByLink still finds
+  /// its member.
   sigc::signal<void(LinkId)>& signal_link_dropped() {
     return signal_link_dropped_;
   }
-  /// Emitted when an incarnation is gone: without contact past the timeout, or
+  /// Emitted when an incarnation is lost: without contact past the timeout, or
   /// replaced.
   sigc::signal<void(const PeerId&, Role)>& signal_lost() {
     return signal_lost_;
   }
-  /// Emitted when a known entry of this region did not connect in all the time
-  /// in which others do: it is gone, or on the other side of a partition.
+  /// Emitted when a known entry of this region did not connect within the time
+  /// in which reachable ones do: it has ended, or is on the other side of a
+  /// partition.
   sigc::signal<void(const PeerId&)>& signal_never_connected() {
     return signal_never_connected_;
   }
@@ -178,11 +179,12 @@
   void DialDueTargets(TimePoint now);
   void DetectLost(TimePoint now);
   void DetectNeverConnected(TimePoint now);
-  /// Returns true if an entry would have connected by now if it were alive.
+  /// Returns true if an entry would have connected by now if it were running
+  /// and reachable.
   bool HadTimeToConnect(const DialTarget& target, TimePoint now) const {
     return now - target.known_since > 2 * options_.heartbeat_timeout;
   }
-  void ForgetGoneMembers(TimePoint now);
+  void ForgetUnconnectedMembers(TimePoint now);
   Duration HeartbeatPeriodFor(const Link& state) const;
   void SendHeartbeat(LinkId link, Link& state, const Heartbeat& heartbeat);
   std::set<std::string> WantedAgents() const;
--- a/lavenderkeel/membership/registration.h
+++ b/lavenderkeel/membership/registration.h
@@ -11,8 +11,9 @@
 
 namespace lavenderkeel {
 
-/// Keeps this process's own registration at the platform up to date, and reads
-/// the instance list periodically as a hint which instances to dial.
+/// Registration of this process at the platform: keeps its own object up to
+/// date, and reads the instance list periodically as a hint which instances to
+/// dial.
 class Registration {
  public:
   using OnInstances = std::function<void(const std::vector<InstanceInfo>&)>;
--- a/lavenderkeel/platform/conditional_update.h
+++ b/lavenderkeel/platform/conditional_update.h
@@ -15,9 +15,9 @@
 /// Read-modify-write of one object, retried until it succeeds.
 ///
 /// Each attempt reads the object, computes the next body and writes it on
-/// condition that nobody has written in between. A write whose answer was lost
-/// needs no special case: the next attempt reads the object, and `next` returns
-/// nothing if the write took effect.
+/// condition that no other process has written in between. A write whose answer
+/// was lost needs no special case: the next attempt reads the object, and
+/// `next` returns nothing if the write took effect.
 class ConditionalUpdate {
  public:
   struct Options {
--- a/lavenderkeel/platform/platform_port.h
+++ b/lavenderkeel/platform/platform_port.h
@@ -33,8 +33,8 @@
   friend bool operator==(const PlatformReply&, const PlatformReply&) = default;
 };
 
-/// Numbers calls to the platform and passes each reply to the handler of its
-/// call.
+/// Port to the platform: numbers the calls and passes each reply to the handler
+/// of its call.
 class PlatformPort {
  public:
   using Handler = std::function<void(const PlatformReply&)>;
--- a/lavenderkeel/watch/object_watch.cc
+++ b/lavenderkeel/watch/object_watch.cc
@@ -37,8 +37,9 @@
 }
 
 void ObjectWatch::Watch() {
-  // In an outage any answer ends the outage. A waiting watch could be told from
-  // one on a dead connection only seconds after the store is available again.
+  // In an outage any answer ends the outage, so the watch does not wait for a
+  // change. A waiting watch could be distinguished from one on an unresponsive
+  // connection only seconds after the store is available again.
   WatchWithin(outage() ? Duration::zero() : options_.wait);
 }
 
@@ -164,8 +165,8 @@
 void ObjectWatch::OnPeerUpdate(uint64_t revision) {
   revision_ = std::max(revision_, revision);
   last_change_ = std::max(last_change_, revision);
-  // A list requested before may be answered after this and would set a leaving
-  // server back to ready.
+  // A list requested before this update may be answered after it and would set
+  // a leaving server back to ready.
   pending_call_ = 0;
   must_list_ = false;
 }
@@ -193,7 +194,8 @@
 void ObjectWatch::Tick() {
   // The connection of a waiting watch may become unresponsive while a server
   // leaves. The server would get requests until the wait is over, although the
-  // store has long recorded the change. Reports of others reveal it.
+  // store has long recorded the change. A peer's report of a later revision
+  // makes this watch ask the store again.
   const TimePoint now = clock_.Now();
   if (reported_revision_ > revision_ &&
       now - reported_at_ >= options_.peer_report_delay) {
--- a/lavenderkeel/watch/object_watch.h
+++ b/lavenderkeel/watch/object_watch.h
@@ -71,7 +71,7 @@
                          const ObjectReadResult&) = default;
 };
 
-/// Follows all objects of one kind: lists them, then watches for changes, and
+/// Watch on all objects of one kind: lists them, then watches for changes, and
 /// lists again whenever changes may have been missed. Performs no I/O itself.
 class ObjectWatch {
  public:
--- a/test/claim/claim_table_test.cc
+++ b/test/claim/claim_table_test.cc
@@ -25,6 +25,8 @@
 
 }  // namespace
 
+// Guards against a second run: a holder calls a key unused although an earlier
+// claim on it may have been stored elsewhere.
 BOOST_AUTO_TEST_CASE(VouchesOnlyForKeysWhoseClaimsItKnows) {
   Holder holder;
   const RequestKey before = holder.KeySentNow();
@@ -37,6 +39,8 @@
       !holder.table.Request(holder.KeySentNow(), ClaimOf("a"), {}).vouched);
 }
 
+// Guards against a claim that is taken from an owner that was not asked, or for
+// another body.
 BOOST_AUTO_TEST_CASE(OnlyTheNamedOwnerIsReplaced) {
   Holder holder;
   const RequestKey key = holder.KeySentNow();
@@ -52,8 +56,8 @@
 }
 
 // Guards against a second run when an entry takes over the claim of an owner
-// that it believes dead: the live owner has meanwhile added an agent that was
-// not asked. The take-over is refused and returns that agent.
+// that it counts as lost: the owner is still running and has meanwhile added an
+// agent that was not asked. The take-over is refused and returns that agent.
 BOOST_AUTO_TEST_CASE(TakeOverIsRefusedWhereAnAgentWasNotAsked) {
   Holder holder;
   const RequestKey key = holder.KeySentNow();
@@ -72,8 +76,9 @@
   BOOST_TEST(holder.table.Request(key, taken, ClaimOf("a").owner).granted);
 }
 
-// Entries that leave together hand their claims to each other. A claim that the
-// table holds already must not be passed on again; a new owner must.
+// Guards against endless hand-overs between entries that leave together and
+// hand their claims to each other. A claim that the table holds already must
+// not be passed on again; a new owner must.
 BOOST_AUTO_TEST_CASE(OnlyNewInformationChangesAClaim) {
   Holder holder;
   const RequestKey key = holder.KeySentNow();
--- a/test/claim/holder_ranking_test.cc
+++ b/test/claim/holder_ranking_test.cc
@@ -36,7 +36,7 @@
   const RequestKey key = KeySent(seed);
   const std::vector<std::string> holders = ranking.Holders(key);
   for (const uint8_t which : lost) {
-    // The entry restarts or is gone for good.
+    // The entry is lost for good, or restarts.
     ranking.SetLost(Entry(which % 6), kAfter);
     if (which >= 128) {
       ranking.SetPresent(Entry(which % 6, 2), kAfter);
@@ -49,6 +49,8 @@
   }
 }
 
+// Guards against "unknown" answers to keys first sent after the loss of their
+// former holders: a lost entry has no claim on such a key.
 BOOST_AUTO_TEST_CASE(LossesBeforeTheKeyDoNotCount) {
   HolderRanking ranking({});
   ranking.SetPresent(Entry(0), kStart);
@@ -131,7 +133,8 @@
   BOOST_TEST((ranking.Coverage(key) == HolderCoverage::kPlatformDecides));
 }
 
-// The lost entry itself had a different view when it was last heard from.
+// The lost entry itself had a different view in its last report, and may grant
+// the key together with an entry that is unknown here.
 BOOST_AUTO_TEST_CASE(LostEntryWithAnotherViewLeavesNoCoverage) {
   HolderRanking ranking = SixEntriesWithSameView();
   const RequestKey key = KeySent(1);
@@ -143,7 +146,8 @@
 }
 
 // An entry that joins after the loss ranks above the lost one, which on its
-// side of a partition still counts itself as a holder of the key.
+// side of a partition still counts itself as a holder of the key. With full
+// coverage here, the request could be started on both sides.
 RC_BOOST_PROP(LaterEntryDoesNotReplaceALostHolder, (uint64_t seed)) {
   HolderRanking ranking = SixEntriesWithSameView();
   const RequestKey key = KeySent(seed);
@@ -156,9 +160,9 @@
   RC_ASSERT(ranking.Coverage(key) != HolderCoverage::kFull);
 }
 
-// A lost entry was granted a key by the platform, ran the request and died; its
-// successor has no record of it. The platform still decides keys older than the
-// successor, and no later ones.
+// A lost entry was granted a key by the platform, ran the request and crashed;
+// its successor has no record of it. The platform still decides keys older than
+// the successor, and no later ones.
 BOOST_AUTO_TEST_CASE(PlatformDecidesKeysOlderThanASuccessor) {
   HolderRanking ranking = SixEntriesWithSameView();
   const RequestKey key = KeySent(1);
--- a/test/claim/key_arbiter_test.cc
+++ b/test/claim/key_arbiter_test.cc
@@ -58,7 +58,9 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(KeyIsGivenOnce) {
+// Guards against two entries that both start a request: only the first to reach
+// the platform is granted the key, and gets it again when it asks again.
+BOOST_AUTO_TEST_CASE(KeyIsGrantedToOneEntry) {
   TwoEntries both;
   const RequestKey key = both.NewKey();
   both.first.Decide(key);
@@ -91,7 +93,7 @@
 // After the first failed call to an unavailable platform, callers are answered
 // without a call, so that none of them waits; a second later the platform is
 // called again.
-BOOST_AUTO_TEST_CASE(UnavailablePlatformIsNotWaitedFor) {
+BOOST_AUTO_TEST_CASE(NoCallsRightAfterAFailedCall) {
   TwoEntries both;
   both.platform.set_mode(fakes::PlatformCore::Mode::kOutage);
   both.first.Decide(both.NewKey());
@@ -118,8 +120,8 @@
   BOOST_TEST((both.first.decision == Decision::kUndecided));
 }
 
-// Objects are deleted once no entry vouches for their keys, also those of an
-// entry that died; younger objects stay.
+// Objects are deleted once no entry vouches for their keys, also those of a
+// crashed entry; younger objects stay.
 BOOST_AUTO_TEST_CASE(ObjectsPastTheRetentionAreDeleted) {
   TwoEntries both;
   const RequestKey old = both.NewKey();
--- a/test/http/event_stream_test.cc
+++ b/test/http/event_stream_test.cc
@@ -20,7 +20,7 @@
   BOOST_TEST(first->bytes == "id: 1\ndata: a\n\n");
   BOOST_TEST(second->id == "2");
   BOOST_TEST(!reader.Next().has_value());
-  BOOST_TEST(reader.has_part());
+  BOOST_TEST(reader.has_incomplete_event());
 }
 
 BOOST_AUTO_TEST_CASE(EventsDoNotDependOnHowBytesAreSplit) {
@@ -46,7 +46,7 @@
     }
     RC_ASSERT(last == count);
     RC_ASSERT(passed == whole);
-    RC_ASSERT(!reader.has_part());
+    RC_ASSERT(!reader.has_incomplete_event());
   });
 }
 
--- a/test/io/http_server_test.cc
+++ b/test/io/http_server_test.cc
@@ -207,7 +207,7 @@
 
 // Guards against state that libevent keeps from the first request of a
 // connection and that affects the second.
-BOOST_AUTO_TEST_CASE(NextRequestOfAConnectionStartsAnew) {
+BOOST_AUTO_TEST_CASE(FirstRequestDoesNotAffectTheNext) {
   ServerHarness harness;
   harness.on_request = [&](CallerId id) {
     harness.server().Handle(ReplyHead{.caller = id, .status = 200});
--- a/test/io/settings_test.cc
+++ b/test/io/settings_test.cc
@@ -22,7 +22,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ServiceNeedsAName) {
+BOOST_AUTO_TEST_CASE(ServiceWithoutNameIsRejected) {
   const auto parsed = Catch([] {
     return ParseAgentSettings(R"({"instance": "a", "data_centre": "d",
       "listen": {"peers": "127.0.0.1:0"},
--- a/test/membership/coordinators_test.cc
+++ b/test/membership/coordinators_test.cc
@@ -44,7 +44,7 @@
   }
 }
 
-// If a single strong entry were the only coordinator, its death would end all
+// If a single strong entry were the only coordinator, its crash would end all
 // slot schedulers.
 BOOST_AUTO_TEST_CASE(WeakEntriesMakeUpForTooFewStrongOnes) {
   const std::set<std::string> chosen = ChooseCoordinators(Entries(30, 1), {});
--- a/test/watch/object_watch_test.cc
+++ b/test/watch/object_watch_test.cc
@@ -72,6 +72,8 @@
 
 }  // namespace
 
+// Guards against missing a change that is made while the pages of a list are
+// read, to an object on a page already read.
 BOOST_AUTO_TEST_CASE(PagesAreJoinedAndTheWatchContinuesFromTheFirst) {
   Harness h;
   h.watch.Start();
@@ -92,7 +94,7 @@
                    .objects = {Object("b", /*removed=*/true)},
                    .revision = 13});
   BOOST_TEST(h.events.back() == "removed b");
-  // Further changes of the same burst come with the next call.
+  // Further changes of the same burst are returned by the next call.
   h.watch.Tick();
   BOOST_TEST(h.calls.empty());
   h.TickLater();
