--- a/lavenderkeel/action/outbox.h
+++ b/lavenderkeel/action/outbox.h
@@ -8,7 +8,7 @@
 
 namespace lavenderkeel {
 
-/// Collects the actions of one process's components in order.
+/// The pending actions of one process's components, in order.
 ///
 /// The driver of the components (daemon, fuzzer, benchmark) takes the actions
 /// after each event and executes them.
--- a/lavenderkeel/admission/in_flight_limit.h
+++ b/lavenderkeel/admission/in_flight_limit.h
@@ -11,8 +11,9 @@
 /// An adaptive limit (AIMD) for the requests in flight at a backend server.
 ///
 /// Increases additively while the time between tokens is within the target and
-/// the limit is reached; decreases multiplicatively while it exceeds the
-/// target. Engines admit every request, and each one slows down all others.
+/// the limit is reached; decreases multiplicatively while that time exceeds the
+/// target. The limit is needed because engines admit every request, and each
+/// one slows down all others.
 class InFlightLimit {
  public:
   struct Options {
@@ -29,12 +30,13 @@
 
   uint32_t limit() const { return limit_; }
 
-  /// @param gap time between two tokens of one request
+  /// Records a time between two tokens of one request.
   void Observe(Duration gap) {
     sum_ += gap;
     ++samples_;
   }
 
+  /// Adapts the limit once per period.
   /// @param running number of requests running now
   void Tick(TimePoint now, uint32_t running) {
     if (now < next_) {
--- a/lavenderkeel/crash/crash_guard.cc
+++ b/lavenderkeel/crash/crash_guard.cc
@@ -31,11 +31,11 @@
       return "server_lost";
     case CrashReport::Kind::kSurvived:
       return "survived";
-    case CrashReport::Kind::kServerLives:
+    case CrashReport::Kind::kServerAlive:
       return "server_lives";
-    case CrashReport::Kind::kComesAgain:
+    case CrashReport::Kind::kRequestArrived:
       return "comes_again";
-    case CrashReport::Kind::kTried:
+    case CrashReport::Kind::kTrialStarted:
       return "tried";
   }
   return "server_lost";
@@ -74,9 +74,10 @@
     return assessment.next_run + options_.trial_interval * rank;
   }
   // Long after the last loss, the request may arrive at all entries at the same
-  // moment, and if each let it run, each could lose a server. The first entry
-  // in rank order runs it at once; the others wait for the result, or for that
-  // entry's interval to pass because the request doesn't arrive there.
+  // moment; if each ran it, each could lose a server. The first entry in rank
+  // order runs it immediately. Each other entry waits for the result, or until
+  // the trial intervals of the entries before it have passed without a run,
+  // since the request may not arrive there.
   const auto [position, first] = pending_trials_.try_emplace(
       request, PendingTrial{now, assessment.next_run});
   PendingTrial& trial = position->second;
@@ -115,7 +116,7 @@
 void CrashGuard::OnSent(RequestFingerprint request) {
   if (RunsSequentially(ledger_.Assess(request))) {
     const TimePoint now = clock_.Now();
-    AddLocalReport({.kind = CrashReport::Kind::kTried,
+    AddLocalReport({.kind = CrashReport::Kind::kTrialStarted,
                     .request = request,
                     .sent = now,
                     .ended = now});
@@ -127,8 +128,9 @@
     return;
   }
   const TimePoint now = clock_.Now();
-  const CrashReport report = {
-      .kind = CrashReport::Kind::kComesAgain, .request = request, .ended = now};
+  const CrashReport report = {.kind = CrashReport::Kind::kRequestArrived,
+                              .request = request,
+                              .ended = now};
   ledger_.AddReport(report, now);
   const auto [last_reminder, first] = last_reminders_.try_emplace(request, now);
   if (!first && now - last_reminder->second >= options_.remind_period) {
@@ -150,7 +152,7 @@
 
 void CrashGuard::OnServerAnswered(uint64_t server, TimePoint sent) {
   if (ledger_.HasLossOf(server) && !unreachable_servers_.contains(server)) {
-    AddLocalReport({.kind = CrashReport::Kind::kServerLives,
+    AddLocalReport({.kind = CrashReport::Kind::kServerAlive,
                     .server = server,
                     .sent = sent,
                     .ended = clock_.Now()});
@@ -171,13 +173,13 @@
   }
 }
 
-void CrashGuard::OnReports(const CrashNews& news, bool pass_on) {
-  for (const CrashReport& report : FromWire(news, clock_.Now())) {
+void CrashGuard::OnReports(const CrashNews& message, bool pass_on) {
+  for (const CrashReport& report : FromWire(message, clock_.Now())) {
     if (AddReport(report, "peer") && pass_on) {
       outgoing_.push_back(report);
     }
   }
-  if (news.complete) {
+  if (message.complete) {
     joining_since_.reset();
   }
 }
--- a/lavenderkeel/crash/crash_guard.h
+++ b/lavenderkeel/crash/crash_guard.h
@@ -22,7 +22,7 @@
   enum class Kind {
     kRun,
     /// Wait until the run of an equal request has a result, this entry's trial
-    /// interval begins, or the entry has received the evidence of others.
+    /// interval begins, or the entry has received the reports of another.
     kWait,
     kRefuse,
   };
@@ -38,11 +38,12 @@
 /// Keeps poison requests from reaching more servers.
 ///
 /// A request that crashes each server that starts to run it, and is sent again,
-/// takes down one server after another with everything that runs there. A
-/// single sending doesn't tell it from the requests that run beside it, but the
-/// losses under equal requests at all entries do. Harmless requests are cleared
-/// by their next answer; until then they run apart from each other, so that
-/// none is lost twice because of another.
+/// crashes one server after another, and all requests that run there fail. A
+/// single loss doesn't distinguish it from the requests that ran at the same
+/// server, but the losses of equal requests, counted over all entries, do. A
+/// harmless request is cleared by its next answer. Until then a doubtful
+/// request runs at no server together with another suspected one, so that none
+/// is lost a second time because of another.
 class CrashGuard {
  public:
   struct Options {
@@ -52,7 +53,7 @@
     Duration trial_interval = std::chrono::seconds(1);
     /// Entries with a higher rank share the last interval.
     size_t max_rank = 8;
-    /// How long an entry that has just started waits for the evidence of
+    /// How long an entry that has just started waits for the reports of
     /// another.
     Duration join_timeout = std::chrono::milliseconds(500);
     /// How often other entries are reminded of a blocked request.
@@ -71,38 +72,38 @@
       Metrics& metrics,
       Rank rank = [](RequestFingerprint) { return size_t{0}; });
 
-  /// Runs no request until another entry has sent its evidence or join_timeout
-  /// has passed.
+  /// Holds back all requests until another entry has sent its reports or
+  /// join_timeout has passed.
   void Join();
   /// @param equal_runs whether an equal request of this entry is at a server or
   ///     queued for one; called only if it matters
   CrashDecision Decide(RequestFingerprint request,
                        const std::function<bool()>& equal_runs);
-  /// The request was sent to a server, as decided.
+  /// Handles that the request was sent to a server, as decided.
   void OnSent(RequestFingerprint request);
-  /// The suspicion against the request.
+  /// Returns the suspicion against the request.
   CrashSuspicion SuspicionOf(RequestFingerprint request) const {
     return ledger_.Assess(request).suspicion;
   }
-  /// The request arrived at this entry.
+  /// Handles that the request arrived at this entry.
   void OnRequestArrived(RequestFingerprint request);
 
-  /// The server was lost while it had the request.
+  /// Handles the loss of a server that had the request.
   void OnServerLost(RequestFingerprint request,
                     uint64_t server,
                     TimePoint sent);
-  /// The server answered a request that was sent to it at `sent`.
+  /// Handles that a server answered a request that was sent to it at `sent`.
   void OnServerAnswered(uint64_t server, TimePoint sent);
-  /// The server accepted no connection: a later answer comes from its restarted
-  /// successor.
+  /// Handles that a server accepted no connection: a later answer comes from
+  /// its restarted successor.
   void OnServerUnreachable(uint64_t server);
-  /// A server ran the request to its end.
+  /// Handles that a server ran the request to its end.
   void OnServerSurvived(RequestFingerprint request);
 
-  /// Takes evidence from another entry.
-  /// @param pass_on whether new evidence is forwarded to other entries
-  void OnReports(const CrashNews& news, bool pass_on);
-  /// The reports for other entries since the last call.
+  /// Adds the reports of another entry.
+  /// @param pass_on whether new reports are forwarded to other entries
+  void OnReports(const CrashNews& message, bool pass_on);
+  /// Returns the reports for other entries since the last call.
   std::vector<CrashReport> TakeNewReports();
   std::vector<CrashReport> All() const { return ledger_.All(); }
   void Tick();
@@ -117,12 +118,13 @@
   };
 
   bool IsJoining() const;
-  /// Whether several servers were lost under the request, so that entries run
-  /// it one after the other.
+  /// Returns whether so many servers were lost while running the request that
+  /// the entries run it one after the other.
   bool RunsSequentially(const CrashAssessment& assessment) const {
     return assessment.lost >= options_.ledger.blocked_at_losses;
   }
-  /// When this entry may run the request, unless another entry runs it before.
+  /// Returns when this entry may run the request, unless another entry runs it
+  /// before.
   TimePoint TrialTime(RequestFingerprint request,
                       const CrashAssessment& assessment);
   bool AddReport(const CrashReport& report, std::string_view from);
--- a/lavenderkeel/crash/crash_ledger.cc
+++ b/lavenderkeel/crash/crash_ledger.cc
@@ -10,16 +10,16 @@
       if (!AddLoss(report)) {
         return false;
       }
-      requests_.at(report.request).seen = now;
+      requests_.at(report.request).last_arrival = now;
       EvictExcess();
       return true;
     case CrashReport::Kind::kSurvived:
       return AddSurvival(report);
-    case CrashReport::Kind::kServerLives:
+    case CrashReport::Kind::kServerAlive:
       return AddServerAlive(report);
-    case CrashReport::Kind::kComesAgain:
+    case CrashReport::Kind::kRequestArrived:
       return AddArrival(report);
-    case CrashReport::Kind::kTried:
+    case CrashReport::Kind::kTrialStarted:
       return AddTrial(report);
   }
   return false;
@@ -27,10 +27,10 @@
 
 bool CrashLedger::AddArrival(const CrashReport& report) {
   const auto found = requests_.find(report.request);
-  if (found == requests_.end() || found->second.seen >= report.ended) {
+  if (found == requests_.end() || found->second.last_arrival >= report.ended) {
     return false;
   }
-  found->second.seen = report.ended;
+  found->second.last_arrival = report.ended;
   return true;
 }
 
@@ -39,11 +39,11 @@
   if (found == requests_.end()) {
     return false;
   }
-  std::optional<TimePoint>& tried = found->second.tried;
-  if (tried.has_value() && *tried >= report.sent) {
+  std::optional<TimePoint>& last_trial = found->second.last_trial;
+  if (last_trial.has_value() && *last_trial >= report.sent) {
     return false;
   }
-  tried = report.sent;
+  last_trial = report.sent;
   return true;
 }
 
@@ -53,7 +53,8 @@
     return false;
   }
   Request& request = requests_[report.request];
-  if (request.survived.has_value() && *request.survived >= report.ended) {
+  if (request.last_survival.has_value() &&
+      *request.last_survival >= report.ended) {
     return false;
   }
   std::vector<Loss>& losses = request.losses;
@@ -68,12 +69,13 @@
   CountLoss(report.server);
   if (losses.size() > options_.max_losses) {
     // Drops a loss that doesn't add to the sequential count, else the oldest.
-    const std::vector<size_t> in_turn = SequentialLosses(losses);
-    size_t spare = 0;
-    while (spare < in_turn.size() && in_turn[spare] == spare) {
-      ++spare;
+    const std::vector<size_t> sequential = SequentialLosses(losses);
+    size_t redundant = 0;
+    while (redundant < sequential.size() &&
+           sequential[redundant] == redundant) {
+      ++redundant;
     }
-    const size_t dropped = spare < losses.size() ? spare : 0;
+    const size_t dropped = redundant < losses.size() ? redundant : 0;
     UncountLoss(losses[dropped].server);
     losses.erase(losses.begin() + static_cast<ptrdiff_t>(dropped));
   }
@@ -86,14 +88,14 @@
     return false;
   }
   Request& request = found->second;
-  const bool counts = std::ranges::any_of(
+  const bool has_earlier_loss = std::ranges::any_of(
       request.losses,
       [&](const Loss& loss) { return loss.ended <= report.ended; });
-  if (!counts) {
+  if (!has_earlier_loss) {
     return false;
   }
-  request.survived =
-      std::max(request.survived.value_or(report.ended), report.ended);
+  request.last_survival =
+      std::max(request.last_survival.value_or(report.ended), report.ended);
   std::erase_if(request.losses, [&](const Loss& loss) {
     const bool before = loss.ended <= report.ended;
     if (before) {
@@ -141,13 +143,14 @@
 std::vector<size_t> CrashLedger::SequentialLosses(
     const std::vector<Loss>& losses) {
   // Greedy choice by earliest end gives the largest set.
-  std::vector<size_t> in_turn;
+  std::vector<size_t> sequential;
   for (size_t i = 0; i < losses.size(); ++i) {
-    if (in_turn.empty() || losses[i].sent > losses[in_turn.back()].ended) {
-      in_turn.push_back(i);
+    if (sequential.empty() ||
+        losses[i].sent > losses[sequential.back()].ended) {
+      sequential.push_back(i);
     }
   }
-  return in_turn;
+  return sequential;
 }
 
 CrashAssessment CrashLedger::Assess(RequestFingerprint request) const {
@@ -165,17 +168,17 @@
     assessment.suspicion = CrashSuspicion::kBlocked;
     const bool retests_used_up =
         assessment.in_turn >= options_.blocked_at_losses + options_.max_retests;
-    assessment.next_run = retests_used_up
-                              ? found->second.seen + options_.forget_after
-                              : last + options_.retest_delay;
+    assessment.next_run =
+        retests_used_up ? found->second.last_arrival + options_.forget_after
+                        : last + options_.retest_delay;
   } else if (assessment.in_turn + 1 >= options_.blocked_at_losses ||
              assessment.lost >= options_.blocked_at_losses) {
     assessment.suspicion = CrashSuspicion::kDoubtful;
   }
-  const std::optional<TimePoint>& tried = found->second.tried;
-  if (tried.has_value() && *tried > last) {
+  const std::optional<TimePoint>& last_trial = found->second.last_trial;
+  if (last_trial.has_value() && *last_trial > last) {
     assessment.next_run =
-        std::max(assessment.next_run, *tried + options_.trial_timeout);
+        std::max(assessment.next_run, *last_trial + options_.trial_timeout);
   }
   return assessment;
 }
@@ -200,7 +203,7 @@
     Erase(std::ranges::min_element(requests_, {}, [this](const auto& item) {
       const bool blocked =
           Assess(item.first).suspicion == CrashSuspicion::kBlocked;
-      return std::pair(blocked, item.second.seen);
+      return std::pair(blocked, item.second.last_arrival);
     }));
   }
 }
@@ -208,7 +211,7 @@
 void CrashLedger::ForgetExpired(TimePoint now) {
   for (auto request = requests_.begin(); request != requests_.end();) {
     const auto current = request++;
-    if (now - current->second.seen > options_.forget_after) {
+    if (now - current->second.last_arrival > options_.forget_after) {
       Erase(current);
     }
   }
--- a/lavenderkeel/crash/crash_ledger.h
+++ b/lavenderkeel/crash/crash_ledger.h
@@ -13,11 +13,12 @@
 
 namespace lavenderkeel {
 
+/// The counted losses of a request and the suspicion that follows from them.
 struct CrashAssessment {
   CrashSuspicion suspicion = CrashSuspicion::kClear;
-  /// Servers lost under the request since a server last answered it.
+  /// Servers lost while they had the request, since a server last answered it.
   size_t lost = 0;
-  /// Those of them whose run began after the previous loss.
+  /// Sequential losses: those whose run began after the previous such loss.
   size_t in_turn = 0;
   /// When a single run may test the request again; meaningful for
   /// kDoubtful and kBlocked only.
@@ -32,9 +33,8 @@
 /// Losses count only until a server answers the request. A poison request is
 /// never answered, and a harmless equal request is cleared by its next answer.
 /// Runs that overlap in time count once, since one cause may have ended all
-/// their servers at that moment. A loss is void if the server answers a request
-/// that was sent to it afterwards: then connections had broken and not the
-/// server.
+/// their servers at that moment. A loss is removed if the server answers a
+/// request that was sent to it afterwards: then only connections had broken.
 ///
 /// Entries that share their reports come to the same assessment.
 class CrashLedger {
@@ -45,8 +45,8 @@
     /// A blocked request may run once more this long after the last loss: the
     /// cause may be gone, or the servers may have ended for another reason.
     Duration retest_delay = std::chrono::seconds(60);
-    /// The number of such runs; after them the request stays blocked until it
-    /// is forgotten.
+    /// The number of these retests; after them the request stays blocked until
+    /// it is forgotten.
     size_t max_retests = 1;
     /// How long the result of a trial run is awaited before another may begin.
     Duration trial_timeout = std::chrono::seconds(8);
@@ -64,14 +64,14 @@
   /// Adds a report of this entry or another.
   /// @return whether the report changed the ledger
   bool AddReport(const CrashReport& report, TimePoint now);
-  /// All losses, for an entry that has just started.
+  /// Returns all losses, for an entry that has just started.
   std::vector<CrashReport> All() const;
 
   CrashAssessment Assess(RequestFingerprint request) const;
   bool IsKnown(RequestFingerprint request) const {
     return requests_.contains(request);
   }
-  /// Whether a loss of this server's incarnation is counted.
+  /// Returns whether a loss of this server's incarnation is counted.
   bool HasLossOf(uint64_t server) const {
     return loss_counts_.contains(server);
   }
@@ -88,10 +88,10 @@
     /// Sorted by the time of the loss.
     std::vector<Loss> losses;
     /// The end of the last run that a server survived.
-    std::optional<TimePoint> survived;
+    std::optional<TimePoint> last_survival;
     /// When the last trial run began.
-    std::optional<TimePoint> tried;
-    TimePoint seen;
+    std::optional<TimePoint> last_trial;
+    TimePoint last_arrival;
   };
   using Requests = std::unordered_map<RequestFingerprint, Request>;
 
@@ -100,7 +100,8 @@
   bool AddServerAlive(const CrashReport& report);
   bool AddTrial(const CrashReport& report);
   bool AddArrival(const CrashReport& report);
-  /// Indices of the sequential losses: the largest set that doesn't overlap.
+  /// Returns the indices of the sequential losses: the largest set of losses
+  /// whose runs don't overlap.
   static std::vector<size_t> SequentialLosses(const std::vector<Loss>& losses);
   void CountLoss(uint64_t server) { ++loss_counts_[server]; }
   void UncountLoss(uint64_t server);
--- a/lavenderkeel/crash/crash_report.h
+++ b/lavenderkeel/crash/crash_report.h
@@ -17,19 +17,19 @@
     /// A server ran the request and answered it; the run ended at `ended`.
     kSurvived = 1,
     /// The server answered a request that was sent at `sent`, so it had not
-    /// ended before; only connections to it had broken.
-    kServerLives = 2,
+    /// ended before that; only connections to it had broken.
+    kServerAlive = 2,
     /// The request still arrives, last at `ended`.
-    kComesAgain = 3,
+    kRequestArrived = 3,
     /// An entry started a trial run at `sent` to test whether the request still
     /// crashes servers.
-    kTried = 4,
+    kTrialStarted = 4,
   };
 
   Kind kind = Kind::kLost;
-  /// Zero for kServerLives.
+  /// Zero for kServerAlive.
   RequestFingerprint request = 0;
-  /// Hash of the server's incarnation; set for kLost and kServerLives.
+  /// Hash of the server's incarnation; set for kLost and kServerAlive.
   uint64_t server = 0;
   TimePoint sent;
   TimePoint ended;
--- a/lavenderkeel/crash/crash_suspicion.h
+++ b/lavenderkeel/crash/crash_suspicion.h
@@ -7,14 +7,15 @@
 
 /// The suspicion that a request crashes the servers that run it.
 enum class CrashSuspicion : uint8_t {
-  /// No server was lost under it.
+  /// No server was lost while it had the request.
   kClear = 0,
-  /// One server was lost under it, as under all other requests that ran there.
+  /// One server was lost while it had the request; all other requests that ran
+  /// there are equally suspect.
   kSuspect = 1,
   /// Two servers were lost one after the other, or several at the same time.
   kDoubtful = 2,
-  /// Three servers were lost one after the other: the request is taken for the
-  /// cause.
+  /// Three servers were lost one after the other: the request is presumed to be
+  /// the cause.
   kBlocked = 3,
 };
 
--- a/lavenderkeel/crash/crash_wire.cc
+++ b/lavenderkeel/crash/crash_wire.cc
@@ -17,8 +17,8 @@
 CrashNews ToWire(const std::vector<CrashReport>& reports,
                  bool complete,
                  TimePoint now) {
-  CrashNews news;
-  news.complete = complete;
+  CrashNews message;
+  message.complete = complete;
   for (const CrashReport& report : reports) {
     auto evidence = std::make_unique<CrashEvidence>();
     evidence->kind = static_cast<uint8_t>(report.kind);
@@ -26,15 +26,15 @@
     evidence->server = report.server;
     evidence->sent_age_us = (now - report.sent).count();
     evidence->ended_age_us = (now - report.ended).count();
-    news.evidence.push_back(std::move(evidence));
+    message.evidence.push_back(std::move(evidence));
   }
-  return news;
+  return message;
 }
 
-std::vector<CrashReport> FromWire(const CrashNews& news, TimePoint now) {
-  constexpr auto kLast = static_cast<uint8_t>(CrashReport::Kind::kTried);
+std::vector<CrashReport> FromWire(const CrashNews& message, TimePoint now) {
+  constexpr auto kLast = static_cast<uint8_t>(CrashReport::Kind::kTrialStarted);
   std::vector<CrashReport> reports;
-  for (const auto& evidence : news.evidence) {
+  for (const auto& evidence : message.evidence) {
     if (evidence == nullptr || evidence->kind > kLast) {
       continue;
     }
--- a/lavenderkeel/crash/crash_wire.h
+++ b/lavenderkeel/crash/crash_wire.h
@@ -16,8 +16,8 @@
 CrashNews ToWire(const std::vector<CrashReport>& reports,
                  bool complete,
                  TimePoint now);
-/// Reports of an unknown kind are skipped.
-std::vector<CrashReport> FromWire(const CrashNews& news, TimePoint now);
+/// Decodes the reports of another entry; skips reports of an unknown kind.
+std::vector<CrashReport> FromWire(const CrashNews& message, TimePoint now);
 
 }  // namespace lavenderkeel
 
--- a/lavenderkeel/crash/request_fingerprint.h
+++ b/lavenderkeel/crash/request_fingerprint.h
@@ -6,8 +6,8 @@
 
 namespace lavenderkeel {
 
-/// A hash that is equal for requests that ask a server for the same thing,
-/// whatever their id and wherever they arrived.
+/// A hash that is equal for requests with equal content, whatever their id and
+/// whichever entry they arrive at.
 using RequestFingerprint = uint64_t;
 
 /// The parts of a request that identify it.
--- a/lavenderkeel/dispatch/answer_renderer.h
+++ b/lavenderkeel/dispatch/answer_renderer.h
@@ -8,7 +8,7 @@
 
 namespace lavenderkeel {
 
-/// Converts the lines of a stored answer into the format that the caller
+/// A converter of the lines of a stored answer into the format that the caller
 /// requested.
 ///
 /// The first line is a header: `{"kind": "completion" | "chat" | "service",
@@ -35,8 +35,8 @@
 
   bool wants_stream() const { return stream_; }
   bool streams() const { return stream_ && !is_service_; }
-  /// True once the line with the finish reason, or a service's header line, has
-  /// been consumed; an answer without it is truncated.
+  /// Returns true once the line with the finish reason, or a service's header
+  /// line, has been consumed; an answer without it is truncated.
   bool complete() const { return complete_; }
 
  private:
--- a/lavenderkeel/dispatch/caller_subscriptions.h
+++ b/lavenderkeel/dispatch/caller_subscriptions.h
@@ -68,7 +68,7 @@
 
   std::vector<SubscriptionId> SubscriptionsOf(const RequestKey& key) const;
   const Subscription* Find(SubscriptionId id) const;
-  /// True if bytes of the answer were sent to any caller of the key.
+  /// Returns true if bytes of the answer were sent to any caller of the key.
   bool HasDelivered(const RequestKey& key) const;
   size_t size() const { return subscriptions_.size(); }
 
--- a/lavenderkeel/dispatch/dispatch_controller.cc
+++ b/lavenderkeel/dispatch/dispatch_controller.cc
@@ -272,7 +272,7 @@
     context_.outbox.Send(link, withdraw);
     return;
   }
-  // Crash reports received since it was queued may hold it back.
+  // Crash reports received since the request was queued may hold it back.
   if (DecideOnCrashes(*request).kind != CrashDecision::Kind::kRun) {
     placer_.Withdraw(*request, PeerId());
     Enqueue(*request);
@@ -548,7 +548,8 @@
 void DispatchController::Release(EntryRequest& request) {
   if (request.is_waiting()) {
     UncountWaiting(request);
-    // Excludes it from the search for a held-back request to enqueue next.
+    // Excludes this request from the search for a held-back one to enqueue
+    // next.
     request.state = State::kDone;
   }
   placer_.Withdraw(request, PeerId());
--- a/lavenderkeel/dispatch/dispatch_controller.h
+++ b/lavenderkeel/dispatch/dispatch_controller.h
@@ -8,9 +8,10 @@
 
 namespace lavenderkeel {
 
-/// Dispatches the requests that this entry owns: applies limits, places
-/// reservations, sends the Go to one agent, and handles refusal, preemption and
-/// the loss of an agent.
+/// The controller that dispatches the requests that this entry owns.
+///
+/// Applies limits, places reservations, sends the Go to one agent, and handles
+/// refusal, preemption and the loss of an agent.
 class DispatchController {
  public:
   explicit DispatchController(EntryContext& context);
@@ -35,8 +36,8 @@
   void OnConfigActivated();
   void OnTimer(EntryRequest& request);
 
-  /// Estimated wait before an equal request can be admitted; zero where a retry
-  /// delay does not apply.
+  /// Estimates the wait before an equal request can be admitted; zero where a
+  /// retry delay does not apply.
   Duration RetryAfter(const EntryRequest& request, ResultCode code) const;
   size_t waiting() const { return waiting_; }
   size_t waiting(uint32_t tier) const {
--- a/lavenderkeel/dispatch/entry_context.h
+++ b/lavenderkeel/dispatch/entry_context.h
@@ -76,16 +76,16 @@
   /// have taken over any key that was claimed here.
   TimePoint presumed_lost_at = TimePoint::min();
 
-  /// True if the code reports that the key did not run. kKeyReused reports this
-  /// of the current request only, not of the key.
+  /// Returns true if the code reports that the key did not run. kKeyReused
+  /// reports this of the current request only, not of the key.
   static bool MeansNotRun(ResultCode code) {
     return Describe(code).outcome == Outcome::kNotRun &&
            code != ResultCode::kKeyReused;
   }
 
-  /// True if another entry may own the key by now. Only a retry at another
-  /// entry can lead to a second owner, so this applies only to keys chosen by
-  /// callers.
+  /// Returns true if another entry may own the key by now. Only a retry at
+  /// another entry can lead to a second owner, so this applies only to keys
+  /// chosen by callers.
   bool MayHaveBeenTakenOver(const EntryRequest& request) const {
     return request.has_callers_key() && presumed_lost_at >= request.arrived;
   }
--- a/lavenderkeel/dispatch/entry_node.cc
+++ b/lavenderkeel/dispatch/entry_node.cc
@@ -156,11 +156,11 @@
   if (joined_) {
     return;
   }
-  // A newly started entry knows no other entry. As the only holder it would
-  // vouch for keys that other entries have claimed, and report "not run" for
-  // requests that ran. It can't vouch for keys sent before all other entries
-  // include it among the holders; it learns of those entries from the instance
-  // list or from another entry.
+  // A newly started entry has no record of other entries. As the only holder it
+  // would vouch for keys that other entries have claimed, and report "not run"
+  // for requests that ran. It can't vouch for keys sent before all other
+  // entries include it among the holders; it gets those entries from the
+  // instance list or from another entry.
   const std::vector<const Member*> entries = members_.Members(Role::kEntry);
   const bool knows_other_entries = registration_.has_list() || !entries.empty();
   joined_ = knows_other_entries && members_.HasConnectedToAllEntries();
@@ -189,7 +189,7 @@
   crashes_.Tick();
   requests_.Tick();
   operator_api_.Tick();
-  SendCrashNews();
+  SendCrashReports();
   AdvanceLeaving();
 }
 
@@ -200,8 +200,8 @@
   const bool dialed_by_entry = dialed.empty() && peer.role == Role::kEntry &&
                                peer.region == members_.self().region;
   if (dialed_by_entry && !peer.no_claims) {
-    // The peer did not know this entry until now, or presumed it lost, and may
-    // have claimed keys without it. If the holders that it did ask are lost,
+    // The peer had no record of this entry, or presumed it lost, and may have
+    // claimed keys without it. If the holders that the peer queried are lost,
     // this entry would vouch for a used key. A peer that dials this entry
     // includes it among the holders from now on, so only older keys are
     // uncertain; a peer without claims makes no key uncertain.
@@ -228,7 +228,7 @@
       }));
 }
 
-void EntryNode::SendCrashNews() {
+void EntryNode::SendCrashReports() {
   const std::vector<CrashReport> reports = crashes_.TakeNewReports();
   if (!reports.empty()) {
     members_.SendToAll(Role::kEntry,
@@ -447,7 +447,8 @@
   // A leaving holder sends its claims to the holders that remain without it,
   // and only then announces that it leaves, so that the holder asked in its
   // place already has them. Otherwise two holders of a key that leave in turn,
-  // as in a rolling restart, would lose the claim, and a retry would run again.
+  // as in a rolling restart, would lose the claim, and a retry would run the
+  // key again.
   hand_over_deadline_ = clock_.Now() + options_.hand_over_timeout;
   ranking_.SetLeft(members_.self().id.instance);
   claims_.ForEach([this](const RequestKey& key, const Claim& claim) {
@@ -479,9 +480,9 @@
 }
 
 bool EntryNode::CanExit() const {
-  // If a hand-over is unconfirmed, the other entries must see this one as lost
-  // and not as left, so that none of them vouches without having received the
-  // claims.
+  // If a hand-over is unconfirmed, the other entries must treat this one as
+  // lost and not as left, so that none of them vouches without having received
+  // the claims.
   const bool settled = pending_hand_overs_ == 0
                            ? has_announced_leaving_
                            : clock_.Now() >= hand_over_deadline_;
--- a/lavenderkeel/dispatch/entry_node.h
+++ b/lavenderkeel/dispatch/entry_node.h
@@ -73,13 +73,13 @@
   void OnCallerDrained(CallerId caller);
   void OnCallerGone(CallerId caller);
 
-  /// True while new work is accepted: the entry is configured, can vouch for
-  /// keys first sent from now on, and is neither leaving nor drained.
+  /// Returns true while new work is accepted: the entry is configured, can
+  /// vouch for keys first sent from now on, and is neither leaving nor drained.
   bool IsReady() const;
   /// Starts the graceful shutdown.
   void Leave();
-  /// True once the process can end without interrupting a request or losing a
-  /// claim.
+  /// Returns true once the process can end without interrupting a request or
+  /// losing a claim.
   bool CanExit() const;
 
  private:
@@ -95,7 +95,7 @@
   /// Sends a claim to the entries that hold its key without this one.
   void HandOverClaim(const RequestKey& key, const Claim& claim);
   void HandOverClaims();
-  void SendCrashNews();
+  void SendCrashReports();
   /// Number of live entries with a higher rendezvous weight for the request.
   size_t RankFor(RequestFingerprint request) const;
   void AdvanceLeaving();
--- a/lavenderkeel/dispatch/operator_api.h
+++ b/lavenderkeel/dispatch/operator_api.h
@@ -22,7 +22,7 @@
 
   void Handle(const CallerRequest& request);
   void Tick();
-  /// True if no configuration change is pending at the platform.
+  /// Returns true if no configuration change is pending at the platform.
   bool IsIdle() const { return commits_.empty(); }
 
  private:
--- a/lavenderkeel/dispatch/ownership_controller.cc
+++ b/lavenderkeel/dispatch/ownership_controller.cc
@@ -17,11 +17,11 @@
     const EntryRequest& request) const {
   // A newly started holder can't vouch and would store the take-over as an
   // unconfirmed claim. The former owner, partitioned but running, reclaims the
-  // key there before it sends it to further agents; it would take its own claim
-  // for the earlier one and run the key again.
+  // key there before it sends it to further agents; it would treat its own
+  // claim as the earlier one and run the key again.
   lavenderkeel::Claim claim = MakeOwnClaim(request);
   claim.confirmed = true;
-  // Includes the queried agents; see ClaimTable::Request.
+  // Includes the agents queried for the key; see ClaimTable::Request.
   claim.agents.insert(claim.agents.end(), request.existing_claim.agents.begin(),
                       request.existing_claim.agents.end());
   return claim;
@@ -166,9 +166,9 @@
   }
   const bool is_granted = decision == KeyArbiter::Decision::kGranted;
   request->platform_granted = is_granted;
-  // The holders keep the claim blocked for take-over until they learn that it
-  // was granted. A refusal is sent as well: a holder that can reach more
-  // entries than this one may have recorded the claim as the first.
+  // The holders keep the claim blocked for take-over until a confirmed claim
+  // reports the platform's grant. A refusal is sent as well: a holder that can
+  // reach more entries than this one may have recorded the claim as the first.
   lavenderkeel::Claim claim = MakeOwnClaim(*request);
   claim.confirmed = is_granted;
   claim.status = is_granted ? ClaimStatus::kPlain : ClaimStatus::kRefused;
@@ -210,7 +210,8 @@
   const std::optional<LinkId> link =
       context_.members.LinkTo(request.existing_claim.owner);
   if (!link.has_value()) {
-    // Sent when the link is up again; recovered if the owner is lost.
+    // OnEntryUp() sends the query when the link is up again; OnEntryLost()
+    // recovers the request if the owner is lost.
     return;
   }
   Locate locate;
@@ -232,8 +233,8 @@
   const Member* requester = context_.members.FindByLink(link);
   if (request->state == State::kLocating && requester != nullptr &&
       request->existing_claim.owner == requester->info.id) {
-    // Each entry has taken the other's unconfirmed claim for the earlier one.
-    // Both would wait forever, and neither can vouch that the key is unused.
+    // Each entry treats the other's unconfirmed claim as the earlier one. Both
+    // would wait forever, and neither can vouch that the key is unused.
     context_.conclude(*request, ResultCode::kCannotVouch);
   }
   const bool known = request->state == State::kDone ||
@@ -266,7 +267,8 @@
   }
   const ResultCodeInfo& info = Describe(static_cast<ResultCode>(located.code));
   if (info.outcome == Outcome::kNotRun) {
-    // The owner has dropped it or never ran it; the agents decide.
+    // The owner has dropped the request or never ran it, so the agents are
+    // queried.
     Recover(*request);
     return;
   }
@@ -395,7 +397,7 @@
     return;
   }
   request.state = State::kRunning;
-  // Other entries locate the request through this entry from now on.
+  // The new claim lets other entries locate the request through this entry.
   request.eligible = {agent};
   context_.claimer.Start(
       request.key, MakeConfirmedClaim(request), request.existing_claim.owner,
--- a/lavenderkeel/dispatch/ownership_controller.h
+++ b/lavenderkeel/dispatch/ownership_controller.h
@@ -5,9 +5,9 @@
 
 namespace lavenderkeel {
 
-/// Determines the owner of a key before the request runs.
+/// The controller that determines the owner of a key before the request runs.
 ///
-/// Ends in one of three ways: this entry owns the key (admit), the agent that
+/// The result is one of three: this entry owns the key (admit), the agent that
 /// runs it is known (follow), or the owner can't be determined (conclude with
 /// an unknown outcome).
 class OwnershipController {
@@ -52,8 +52,8 @@
   void CheckSealCompleted(EntryRequest& request);
   void TakeOver(EntryRequest& request);
   lavenderkeel::Claim MakeOwnClaim(const EntryRequest& request) const;
-  /// The claim for a key that this entry certainly owns: one taken over, or
-  /// found running.
+  /// Returns the claim for a key that this entry certainly owns: one taken
+  /// over, or found running.
   lavenderkeel::Claim MakeConfirmedClaim(const EntryRequest& request) const;
   void SendLocate(const EntryRequest& request);
 
--- a/lavenderkeel/dispatch/request_body.cc
+++ b/lavenderkeel/dispatch/request_body.cc
@@ -13,7 +13,8 @@
 
 namespace {
 
-/// A typical average; the error is compensated by measured times.
+/// A typical average. Its error cancels out, since agents observe prefill times
+/// per estimated token.
 constexpr size_t kBytesPerToken = 4;
 constexpr uint64_t kDefaultMaxTokens = 256;
 constexpr uint64_t kMaxTokensLimit = 1'000'000;
--- a/lavenderkeel/dispatch/request_controller.cc
+++ b/lavenderkeel/dispatch/request_controller.cc
@@ -119,7 +119,8 @@
     Conclude(request, request.result);
     return;
   }
-  // Answered, or unknown with an agent that may still have the answer.
+  // The request was answered, or its outcome is unknown and the agent may still
+  // have the answer.
   request.state = State::kFollowing;
   dispatch_.Follow(request);
 }
@@ -140,17 +141,17 @@
   context_.claimer.Start(
       request.key, Claim(), context_.members.self().id, /*lookup=*/true,
       [this, code](const RequestKey& key, const ClaimResult& claim_result) {
-        EntryRequest* asked = context_.requests.FindIn(key, State::kClaiming);
-        if (asked == nullptr) {
+        EntryRequest* pending = context_.requests.FindIn(key, State::kClaiming);
+        if (pending == nullptr) {
           return;
         }
-        const HolderCoverage needed = asked->platform_granted
+        const HolderCoverage needed = pending->platform_granted
                                           ? HolderCoverage::kPlatformDecides
                                           : HolderCoverage::kFull;
         const bool is_granted =
             claim_result.kind == ClaimResult::Kind::kGranted &&
             claim_result.coverage <= needed;
-        Finish(*asked, is_granted ? code : ResultCode::kCannotVouch);
+        Finish(*pending, is_granted ? code : ResultCode::kCannotVouch);
       });
 }
 
@@ -159,8 +160,7 @@
   // its claim at a holder that both reach, and take the key over and run it
   // while the request waits here; "not run" would then be false. If an entry
   // was unreachable since the request arrived, even if it has restarted since,
-  // the holders are asked first: they are the ones that the other entry had to
-  // ask.
+  // the holders are queried first, since the other entry had to query them too.
   if (MustConfirmWithHolders(request, code)) {
     ConfirmWithHolders(request, code);
   } else {
@@ -169,10 +169,10 @@
 }
 
 void RequestController::Finish(EntryRequest& request, ResultCode code) {
-  if (const ResultCode known = context_.DowngradeIfUncertain(request, code);
-      known != code) {
+  if (const ResultCode certain = context_.DowngradeIfUncertain(request, code);
+      certain != code) {
     context_.Note(request, "another entry may have taken the key over");
-    code = known;
+    code = certain;
   }
   const ResultCodeInfo& info = Describe(code);
   dispatch_.Release(request);
@@ -376,8 +376,8 @@
     return;
   }
   if (request->state == State::kSealing) {
-    // It ran there, but its answer is no longer stored: otherwise Started would
-    // have arrived first.
+    // The request ran at the agent, but its answer is no longer stored there:
+    // otherwise Started would have arrived first.
     request->agent = peer;
     Conclude(*request, code);
   } else if (request->is_at_agent() && request->agent == peer) {
--- a/lavenderkeel/dispatch/request_controller.h
+++ b/lavenderkeel/dispatch/request_controller.h
@@ -24,7 +24,7 @@
   std::optional<Duration> deadline;
 };
 
-/// Manages the requests of an entry from submission to the final outcome.
+/// The controller of an entry's requests from submission to the final outcome.
 class RequestController {
  public:
   explicit RequestController(EntryContext& context);
@@ -51,18 +51,19 @@
   void OnConfigActivated() { dispatch_.OnConfigActivated(); }
 
   void Tick();
-  /// True if every caller has its outcome and no request of this entry is
-  /// active.
+  /// Returns true if every caller has its outcome and no request of this entry
+  /// is active.
   bool IsIdle() const;
-  /// Number of requests without a final outcome.
+  /// Returns the number of requests without a final outcome.
   size_t active() const;
   const DispatchController& dispatch() const { return dispatch_; }
   /// Returns the request with its history, or null.
   const EntryRequest* Explain(const std::string& public_key) const;
 
  private:
+  /// Cancels a request of this entry.
   /// @param by_caller false if no caller waits for the request any more
-  /// @return false if this entry does not know the request
+  /// @return false if this entry does not have the request
   bool Cancel(const RequestKey& key, bool by_caller);
   void CancelAt(const PeerId& peer, const RequestKey& key, bool by_caller);
   void JoinExisting(EntryRequest& request, Submission* submission);
@@ -70,7 +71,7 @@
   void FillFrom(EntryRequest& request, Submission& submission);
   /// Ends a request, after confirmation by the holders where necessary.
   void Conclude(EntryRequest& request, ResultCode code);
-  /// True if the holders have to confirm "not run" first.
+  /// Returns true if the holders have to confirm "not run" first.
   bool MustConfirmWithHolders(const EntryRequest& request,
                               ResultCode code) const;
   void ConfirmWithHolders(EntryRequest& request, ResultCode code);
--- a/lavenderkeel/dispatch/reservation_placer.h
+++ b/lavenderkeel/dispatch/reservation_placer.h
@@ -7,7 +7,8 @@
 
 namespace lavenderkeel {
 
-/// Places and withdraws the reservations of a waiting request at agents.
+/// The component that places and withdraws a waiting request's reservations at
+/// agents.
 class ReservationPlacer {
  public:
   explicit ReservationPlacer(EntryContext& context) : context_(context) {}
@@ -17,7 +18,7 @@
   void Place(EntryRequest& request, size_t count);
   /// Sends the reservation to one agent, possibly again.
   void Send(EntryRequest& request, LinkId link);
-  /// Drops all reservations and notifies their agents except one.
+  /// Drops all reservations and notifies their agents other than `except`.
   void Withdraw(EntryRequest& request, const PeerId& except);
 
  private:
--- a/lavenderkeel/dispatch/team_usage.h
+++ b/lavenderkeel/dispatch/team_usage.h
@@ -12,8 +12,8 @@
 
 namespace lavenderkeel {
 
-/// Tracks the usage of each team's limits at this entry. Idle teams are
-/// removed, unless they have a token rate.
+/// The usage of each team's limits at this entry. Idle teams are removed,
+/// unless they have a token rate.
 class TeamUsage {
  public:
   struct Refusal {
--- a/lavenderkeel/gate/agent_node.cc
+++ b/lavenderkeel/gate/agent_node.cc
@@ -40,8 +40,8 @@
       fence_update_(
           {.object = "lavenderkeel/servers/" + members_.self().id.instance,
            .next =
-               [this](const std::optional<std::string>& present) {
-                 return NextFence(present);
+               [this](const std::optional<std::string>& current) {
+                 return NextFence(current);
                },
            .done = nullptr},
           clock,
@@ -63,12 +63,12 @@
 }
 
 std::optional<std::string> AgentNode::NextFence(
-    const std::optional<std::string>& present) {
+    const std::optional<std::string>& current) {
   uint64_t fence = 0;
   uint64_t incarnation = 0;
-  if (present.has_value()) {
+  if (current.has_value()) {
     boost::system::error_code error;
-    const json::value value = json::parse(*present, error);
+    const json::value value = json::parse(*current, error);
     if (!error && value.is_object()) {
       const json::object& object = value.get_object();
       const json::value* old_fence = object.if_contains("fence");
--- a/lavenderkeel/gate/agent_node.h
+++ b/lavenderkeel/gate/agent_node.h
@@ -15,8 +15,7 @@
 
 /// The decision logic of an agent process, without sockets.
 ///
-/// The driver passes events in and carries out the actions that are then in the
-/// outbox.
+/// The driver passes in events and then executes the actions in the outbox.
 class AgentNode {
  public:
   struct Options {
@@ -39,7 +38,7 @@
   GateController& gate() { return gate_; }
   MemberTable& members() { return members_; }
 
-  /// @param address the peer address that the socket is bound to
+  /// @param address the peer address actually bound
   void Start(const std::string& address);
   void Tick();
   bool OnLinkUp(LinkId link,
@@ -50,19 +49,19 @@
   void OnMessage(LinkId link, Message message);
   void OnPlatformReply(PlatformCallId call, const PlatformReply& reply);
 
-  /// Begins the graceful shutdown.
+  /// Starts the graceful shutdown.
   void Leave();
-  /// True once the process can end without cutting an answer off.
+  /// Returns true once the process can end without truncating an answer.
   bool CanExit() const;
 
-  /// The fencing number of this incarnation; 0 until the platform has assigned
-  /// one.
+  /// Returns the fencing number of this incarnation; 0 until the platform has
+  /// assigned one.
   uint64_t fence() const { return fence_; }
 
  private:
   void CheckForFreeze();
   std::optional<std::string> NextFence(
-      const std::optional<std::string>& present);
+      const std::optional<std::string>& current);
 
   Options options_;
   const Clock& clock_;
--- a/lavenderkeel/gate/answer_lines.h
+++ b/lavenderkeel/gate/answer_lines.h
@@ -15,8 +15,8 @@
 std::string FormatTextLine(std::string_view text);
 std::string FormatServiceLine(int status, std::string_view content_type);
 
-/// The number of texts before the finish according to the engine's usage;
-/// nullopt if the engine doesn't report it.
+/// Returns the number of texts before the finish according to the engine's
+/// usage; nullopt if the engine doesn't report it.
 std::optional<uint64_t> ParseCompletionTokens(std::string_view finish_json);
 
 /// Sets the request id and enables streaming in an engine's request body.
--- a/lavenderkeel/gate/answer_subscriptions.cc
+++ b/lavenderkeel/gate/answer_subscriptions.cc
@@ -82,16 +82,16 @@
 }
 
 bool AnswerSubscriptions::SendAvailable(const ReaderId& id, Reader& reader) {
-  const auto& [link, name] = id;
-  const uint64_t subscription = name.first;
+  const auto& [link, subscription_and_key] = id;
+  const uint64_t subscription = subscription_and_key.first;
   const Run* run = runs_.Find(reader.key);
   if (run == nullptr) {
     return true;
   }
   const uint64_t length = run->answer.size();
-  const bool ended =
-      run->state == Run::State::kFinished || run->state == Run::State::kGone;
-  // Readers don't need the rest of an answer that stays incomplete.
+  const bool ended = run->state == Run::State::kFinished ||
+                     run->state == Run::State::kAnswerDropped;
+  // The rest of an answer that stays incomplete is not sent.
   const bool failed = ended && run->code != ResultCode::kAnswered;
   while (subscription != 0 && !failed && reader.sent < length &&
          reader.sent - reader.acked < kWindowBytes) {
@@ -113,9 +113,10 @@
   Finished finish;
   finish.key = ToWire(reader.key);
   finish.subscription = subscription;
-  const bool gone = run->state == Run::State::kGone && subscription != 0;
-  finish.code =
-      static_cast<uint32_t>(gone ? ResultCode::kAnswerGone : run->code);
+  const bool is_answer_dropped =
+      run->state == Run::State::kAnswerDropped && subscription != 0;
+  finish.code = static_cast<uint32_t>(
+      is_answer_dropped ? ResultCode::kAnswerGone : run->code);
   finish.length = length;
   // The reader compares length and checksum before it ends the caller's answer,
   // so that bytes lost or reordered on the way can't pass as a complete answer.
--- a/lavenderkeel/gate/answer_subscriptions.h
+++ b/lavenderkeel/gate/answer_subscriptions.h
@@ -23,7 +23,8 @@
   AnswerSubscriptions(RunTable& runs, Outbox& outbox)
       : runs_(runs), outbox_(outbox) {}
 
-  /// Subscription 0 is a control subscription: it receives only the end.
+  /// Subscribes a link to an answer from the offset on. Subscription 0 is a
+  /// control subscription, which receives only the end.
   void Subscribe(LinkId link,
                  uint64_t subscription,
                  const RequestKey& key,
@@ -31,7 +32,7 @@
   void Ack(LinkId link, uint64_t subscription, uint64_t offset);
   void Unsubscribe(LinkId link, uint64_t subscription);
   void DropLink(LinkId link);
-  /// Called when the answer grew or ended.
+  /// Sends new parts of an answer that grew, or its end.
   void OnProgress(const RequestKey& key);
   bool HasReaders() const { return !readers_.empty(); }
   bool HasReaders(const RequestKey& key) const { return by_key_.contains(key); }
@@ -50,7 +51,8 @@
   static ReaderId MakeId(LinkId link,
                          uint64_t subscription,
                          const RequestKey& key);
-  /// Sends as much as the window allows. Returns true once the end was sent.
+  /// Sends as much as the window allows.
+  /// @return true once the end was sent
   bool SendAvailable(const ReaderId& id, Reader& reader);
 
   RunTable& runs_;
--- a/lavenderkeel/gate/gate_controller.cc
+++ b/lavenderkeel/gate/gate_controller.cc
@@ -35,8 +35,8 @@
             OfferSlots();
           },
           [this] {
-            // The entries must learn that the agent has no slot before they
-            // place the returned requests again.
+            // The entries must receive the load report without slots before the
+            // returned requests, which they place again.
             signal_unreachable_.emit();
             ReturnUnstarted(ResultCode::kServerUnreachable);
           }) {
@@ -191,20 +191,20 @@
     return;
   }
   if (attach.seal) {
-    // Two entries without a connection to each other may both ask all agents
-    // for the key, and each may be the last to ask at some of them. Without an
+    // Two entries without a connection to each other may both query all agents
+    // for the key, and each may be the last to query some of them. Without an
     // order both would get NotHere everywhere and both would start the key. The
-    // higher ballot wins at every agent, so the other entry is rejected by at
-    // least one agent, here or when it sends Go.
+    // higher ballot wins at every agent, so the entry with the lower one is
+    // rejected by at least one agent, here or when it sends Go.
     if (run != nullptr && run->allowed != *peer &&
         std::pair(attach.ballot, *peer) <
             std::pair(run->ballot, run->allowed)) {
       Reject(link, key, attach.subscription, ResultCode::kSealed);
       return;
     }
-    // The sender asks because it takes the former owner for dead. The owner may
-    // resume and send Go, which would be a second run: after this reply only
-    // the sender may start the key here, so that NotHere stays true.
+    // The sender presumes the former owner lost. That owner may resume and send
+    // Go, which would be a second run: after this reply only the sender may
+    // start the key here, so that NotHere stays true.
     Run& sealed = runs_.Add(key, clock_.Now());
     sealed.allowed = *peer;
     sealed.ballot = attach.ballot;
@@ -420,7 +420,7 @@
 void GateController::Leave() {
   leaving_ = true;
   // An accepted run must not start after the entries were notified that this
-  // agent starts no new work.
+  // agent starts no more work.
   ReturnUnstarted(ResultCode::kLeaving);
   for (const auto& [id, offer] : offered_) {
     const Member* entry = members_.Find(id.second.instance);
--- a/lavenderkeel/gate/gate_controller.h
+++ b/lavenderkeel/gate/gate_controller.h
@@ -19,11 +19,11 @@
 
 namespace lavenderkeel {
 
-/// The only path to one backend server.
+/// The controller of all access to one backend server.
 ///
-/// Engines know no priorities and admit requests as they arrive, and several
-/// entries can't order work among themselves. The gate sees every request of
-/// the server, so that tier order, the in-flight limit, cancellation and
+/// Engines have no priorities and admit requests as they arrive, and several
+/// entries can't order work among themselves. All requests of the server pass
+/// through its gate, so that tier order, the in-flight limit, cancellation and
 /// whether a request was started are exact local decisions.
 class GateController {
  public:
@@ -59,13 +59,14 @@
   void OnPolicy(const AgentPolicy& policy);
   void OnLinkDown(LinkId link);
 
-  /// The runs at the backend server; also takes the server's events.
+  /// Returns the runs at the backend server; also takes the server's events.
   RunController& server() { return server_; }
 
   void Tick();
-  /// Accepts no new work and returns waiting requests to their entries at once.
+  /// Stops accepting work and returns waiting requests to their entries at
+  /// once.
   void Leave();
-  /// True if no run is active and no answer is being sent.
+  /// Returns true if no run is active and no answer is being sent.
   bool Idle() const;
 
   void FillLoad(Heartbeat& heartbeat) const;
@@ -90,7 +91,7 @@
   bool IsBelowTierLimit(uint32_t tier) const;
   uint32_t CountInFlight(uint32_t tier) const;
   uint32_t CommittedSlots() const;
-  /// The limit of CommittedSlots().
+  /// Returns the limit of CommittedSlots().
   uint32_t MaxCommittedSlots() const;
   /// Returns reservations and accepted runs that have not started to their
   /// entries.
--- a/lavenderkeel/gate/run_controller.cc
+++ b/lavenderkeel/gate/run_controller.cc
@@ -38,8 +38,8 @@
   run.state = Run::State::kRunning;
   run.run = ++last_run_;
   // A restarted agent counts its runs from one again and could repeat the id
-  // that its former incarnation used for the same key. The engine would take
-  // the start for a repetition and serve the old, cancelled stream; the
+  // that its former incarnation used for the same key. The engine would treat
+  // the start as a repetition and serve the old, cancelled stream; the
   // incarnation in the id prevents that.
   run.request_id = key.ToString() + "." + std::to_string(self_.id.incarnation) +
                    "." + std::to_string(run.run);
@@ -208,7 +208,7 @@
   if (run.go.service || run.resumes == 0) {
     return false;
   }
-  // An engine that doesn't know a stream that it ran has restarted since.
+  // An engine that no longer has a stream that it ran has restarted since.
   return end == ServerDisconnect::kRefused ||
          run.unreachable_resumes >= options_.refusals_until_ended;
 }
--- a/lavenderkeel/gate/run_controller.h
+++ b/lavenderkeel/gate/run_controller.h
@@ -22,11 +22,11 @@
   kUnreachable,
   /// The connection broke; the run may continue at the server.
   kBroken,
-  /// The server doesn't know the stream (any more) or refused the request.
+  /// The server no longer has the stream, never had it, or refused the request.
   kRefused,
 };
 
-/// The runs at one backend server.
+/// The controller of the runs at one backend server.
 ///
 /// Starts, reads, resumes and ends runs, and preempts the cheapest one for a
 /// higher tier.
@@ -38,8 +38,8 @@
     /// An engine's stream without an event for this long is resumed.
     Duration stream_silence = std::chrono::seconds(5);
     uint32_t max_resumes = 20;
-    /// An engine that refuses this many connections in a row after it broke a
-    /// stream is taken for ended, and its streams with it.
+    /// An engine that refuses this many connections in a row after a stream
+    /// broke is presumed ended, and its streams with it.
     uint32_t refusals_until_ended = 2;
     size_t max_answer_bytes = size_t{8} << 20;
   };
@@ -59,7 +59,7 @@
 
   void Start(const RequestKey& key, Run& run);
   void Cancel(Run& run);
-  /// Ends a run, started or not, and sends the end to its readers.
+  /// Ends a run, started or not, and notifies the readers of its answer.
   void Finish(const RequestKey& key, ResultCode code);
   /// Cancels the cheapest repeatable run of a lower tier, if there is one.
   void PreemptFor(const Reservation& reservation);
@@ -73,25 +73,27 @@
                       std::string_view content_type,
                       std::string_view body);
   void OnServerDisconnect(RunId run, ServerDisconnect end);
-  /// The server confirmed that a cancelled run has ended, or can't be reached.
+  /// Handles that the server confirmed the end of a cancelled run or can't be
+  /// reached.
   void OnServerCancelled(RunId run);
 
-  /// The number of runs that the server may have now.
+  /// Returns the number of runs that the server may have now.
   uint32_t limit() const {
     return reachability_.AllowedInFlight(limit_.limit(), clock_.Now());
   }
-  /// Whether the server refused the last connection attempt.
+  /// Returns whether the server refused the last connection attempt.
   bool unreachable() const { return reachability_.IsRefusing(); }
   const std::set<RunId>& running() const { return running_; }
   bool cancelling() const { return !cancelling_.empty(); }
-  /// Slots in use, including those of runs that are being cancelled.
+  /// Returns the slots in use, including those of runs that are being
+  /// cancelled.
   size_t occupied_slots() const { return running_.size() + cancelling_.size(); }
   void FillLoad(Heartbeat& heartbeat) const;
 
  private:
   void Resume(RunId id, Run& run);
-  /// Whether the engine has ended, judging by how it ended a stream. Always
-  /// false for a plain service, whose answers can't be resumed.
+  /// Returns whether the way in which a stream ended shows that the engine has
+  /// ended. Always false for a plain service, whose answers can't be resumed.
   bool HasEngineEnded(const Run& run, ServerDisconnect end) const;
   void ResumeStalledStreams(TimePoint now);
   void UpdateReachability(ServerDisconnect end);
--- a/lavenderkeel/gate/run_table.cc
+++ b/lavenderkeel/gate/run_table.cc
@@ -85,7 +85,7 @@
   retained_bytes_ -= run.answer.size();
   run.answer = std::string();
   run.go = Go();
-  run.state = Run::State::kGone;
+  run.state = Run::State::kAnswerDropped;
 }
 
 void RunTable::Tick(TimePoint now) {
@@ -95,7 +95,8 @@
         oldest != nullptr && (oldest->state == Run::State::kReady ||
                               oldest->state == Run::State::kRunning);
     if (active) {
-      // A long answer may outlast the retention; check again after another one.
+      // A long answer may outlast the retention; its key is checked again after
+      // another retention.
       by_age_.emplace_back(now, by_age_.front().second);
       by_age_.pop_front();
       continue;
--- a/lavenderkeel/gate/run_table.h
+++ b/lavenderkeel/gate/run_table.h
@@ -19,14 +19,14 @@
 /// The agent's record of one request key.
 struct Run {
   enum class State {
-    /// Not started here; only `allowed` may start it.
+    /// Not started here; only the entry `allowed` may start the run.
     kSealed,
     /// Accepted, waiting for a slot at the server.
     kReady,
     kRunning,
     kFinished,
-    /// Ran here; the answer is no longer kept.
-    kGone,
+    /// Ran here; the answer is no longer stored.
+    kAnswerDropped,
   };
 
   State state = State::kSealed;
@@ -50,7 +50,7 @@
 
   bool started_here() const {
     return state == State::kReady || state == State::kRunning ||
-           state == State::kFinished || state == State::kGone;
+           state == State::kFinished || state == State::kAnswerDropped;
   }
 };
 
@@ -85,8 +85,8 @@
   void RetainAnswer(const RequestKey& key);
   void Tick(TimePoint now);
 
-  /// Whether the key may have run here and been forgotten, in which case
-  /// NotHere must not be sent for it.
+  /// Returns whether the key may have run here and been forgotten, in which
+  /// case NotHere must not be sent for it.
   bool MayHaveForgotten(const RequestKey& key) const {
     return key.first_sent() <= forgotten_until_;
   }
--- a/lavenderkeel/gate/server_reachability.h
+++ b/lavenderkeel/gate/server_reachability.h
@@ -8,10 +8,11 @@
 
 namespace lavenderkeel {
 
-/// Whether the backend server accepts connections, judging by its last results.
+/// The record of whether the backend server accepts connections, according to
+/// its last results.
 ///
-/// An agent whose server is gone has only free slots, so it would attract
-/// requests of other agents, each of which would fail there. After a refused
+/// An agent whose server has ended has only free slots, so it would attract the
+/// requests of other agents, and each would fail there. After a refused
 /// connection no request is sent for a backoff period, and then one at a time
 /// until one is answered.
 class ServerReachability {
@@ -35,8 +36,8 @@
   }
   void OnAnswered() { consecutive_refusals_ = 0; }
 
-  /// The number of concurrent requests that the server may have, given its
-  /// slots.
+  /// Returns the number of concurrent requests that the server may have, given
+  /// its slots.
   uint32_t AllowedInFlight(uint32_t slots, TimePoint now) const {
     if (consecutive_refusals_ == 0) {
       return slots;
--- a/lavenderkeel/rollout/answer_counts.h
+++ b/lavenderkeel/rollout/answer_counts.h
@@ -24,7 +24,7 @@
 
   friend bool operator==(const AnswerCounts&, const AnswerCounts&) = default;
 
-  /// The increase since `former`; zero for a count that was reset.
+  /// Returns the increase since `former`; zero for a count that was reset.
   AnswerCounts Since(const AnswerCounts& former) const {
     const auto increase = [](uint32_t now, uint32_t before) {
       return now > before ? now - before : 0;
--- a/lavenderkeel/rollout/rollout_controller.cc
+++ b/lavenderkeel/rollout/rollout_controller.cc
@@ -239,8 +239,9 @@
   std::vector<RolloutPlan> plans;
   for (const auto& [name, rollout] : rollouts_) {
     const RolloutPhase phase = rollout.progress.phase();
-    // The platform stops the old servers once the record says so, so the record
-    // must be written before entries treat the rollout as completed.
+    // The platform stops the old servers once the record states the completion,
+    // so the record must be written before entries treat the rollout as
+    // completed.
     const bool recorded = rollout.order.answered() &&
                           rollout.order.record->state == StateFromPhase(phase);
     const bool awaits_record = phase == RolloutPhase::kCompleted && !recorded;
--- a/lavenderkeel/rollout/rollout_controller.h
+++ b/lavenderkeel/rollout/rollout_controller.h
@@ -34,13 +34,14 @@
   friend bool operator==(const RecordWrite&, const RecordWrite&) = default;
 };
 
-/// Carries out the operators' orders to move services to new versions.
+/// The controller that carries out the operators' orders to move services to
+/// new versions.
 ///
 /// Every entry that reads the orders advances the rollouts by the reports of
 /// all entries; one entry decides and writes the records. Writes are
-/// conditional on the revision that was read, so neither a second entry that
-/// takes itself for the deciding one nor a write that the store applies late
-/// has any effect.
+/// conditional on the revision that was read, so a write by a second entry that
+/// also acts as the deciding one, or a write that the store applies late, has
+/// no effect.
 class RolloutController {
  public:
   struct Options {
@@ -75,9 +76,9 @@
   void OnCounts(const std::string& entry, const RolloutCounts& counts);
   void Tick(const ClusterState& cluster);
 
-  /// Whether the orders have been read at least once.
+  /// Returns whether the orders have been read at least once.
   bool known() const { return listed_; }
-  /// The plans of all orders.
+  /// Returns the plans of all orders.
   std::vector<RolloutPlan> Plans() const;
 
  private:
--- a/lavenderkeel/rollout/rollout_order.h
+++ b/lavenderkeel/rollout/rollout_order.h
@@ -40,8 +40,8 @@
   Duration duration{};
   std::optional<RolloutRecord> record;
 
-  /// Whether the record belongs to this order and not to an earlier one of the
-  /// same name.
+  /// Returns whether the record belongs to this order and not to an earlier one
+  /// of the same name.
   bool answered() const {
     return record.has_value() && record->to == to &&
            (record->duration == Duration::zero() ||
@@ -51,8 +51,8 @@
   friend bool operator==(const RolloutOrder&, const RolloutOrder&) = default;
 };
 
-/// Hash that identifies an order: the same wherever it is read, and before and
-/// after its record changes.
+/// Returns a hash that identifies an order: equal at all entries, and before
+/// and after its record changes.
 uint64_t KeyOf(const RolloutOrder& order);
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/rollout/rollout_progress.cc
+++ b/lavenderkeel/rollout/rollout_progress.cc
@@ -33,8 +33,8 @@
     comparison_.AddCanary(id.first, id.second, answers.Since(former));
     former = answers;
   }
-  // The entry applied a rollback of a former deciding entry, which saw the
-  // version do worse.
+  // The entry applied a rollback that a former deciding entry started because
+  // the version did worse.
   if (counts.follows == RolloutPhase::kRolledBack && !IsTerminal(phase_)) {
     EnterPhase(RolloutPhase::kRolledBack, "told", now);
   }
@@ -107,8 +107,9 @@
   if (lapsed || (now >= end() && input.canary_servers == 0)) {
     return EnterPhase(RolloutPhase::kRolledBack, "not_seen", now);
   }
-  // Without the store the final state can't be written, and a version that
-  // takes all requests would have to be watched until the store is back.
+  // Without the store the final state can't be written, and the new version
+  // would have to be monitored with all requests until the store is available
+  // again.
   const bool held = input.store_lost || !input.majority ||
                     comparison_.answers() < options_.min_answers;
   if (held || now < end() - move_time()) {
@@ -148,7 +149,7 @@
     return now >= end() &&
            EnterPhase(RolloutPhase::kRolledBack, "in_doubt", now);
   }
-  // An order that is already past its end still gets the time to finish.
+  // A shift that begins after the order's end still gets the time to finish.
   const TimePoint completion_due = std::max(
       end() - options_.end_margin, phase_since_ + options_.min_shift_time);
   const bool late_start = phase_since_ >= end() - options_.end_margin;
--- a/lavenderkeel/rollout/rollout_progress.h
+++ b/lavenderkeel/rollout/rollout_progress.h
@@ -15,9 +15,9 @@
 
 /// The phases of one rollout, advanced by the reports of all entries.
 ///
-/// The new version is watched on few requests for as long as the order allows,
-/// then on more, and gets all requests only after that. Until then it gets no
-/// more than a bad version may get.
+/// The new version is tested with few requests for as long as the order allows,
+/// then with more, and gets all requests only after both tests. Until then it
+/// gets no more requests than a bad version may get.
 class RolloutProgress {
  public:
   struct Options {
@@ -36,7 +36,8 @@
     /// The ramp lasts at least this long, and until this many answers arrived.
     Duration min_ramp_time = std::chrono::milliseconds(1500);
     uint32_t ramp_answers = 40;
-    /// With fewer answers than this the version doesn't leave the canary phase.
+    /// The ramp doesn't begin, and doesn't end, before this many answers
+    /// arrived.
     uint32_t min_answers = 8;
     /// All requests go to the new version for at least this long before the old
     /// servers stop.
@@ -45,15 +46,15 @@
     Duration end_margin = std::chrono::milliseconds(700);
     /// Time for runs at the baseline that last past the order's end.
     Duration overtime = std::chrono::seconds(5);
-    /// An entry without a report for this time is not waited for.
+    /// Entries without a report for this time are not waited for.
     Duration report_timeout = std::chrono::milliseconds(400);
   };
 
   /// Input of one step besides the reports.
   struct StepInput {
     TimePoint now;
-    /// Entries heard from recently, this one included, and whether they are
-    /// more than half of all.
+    /// Number of reachable entries, including this one, and whether they are
+    /// more than half of all entries.
     size_t reachable_entries = 1;
     bool majority = true;
     bool store_lost = false;
@@ -72,7 +73,7 @@
   void SetEnded(RolloutPhase phase);
 
   RolloutPhase phase() const { return phase_; }
-  /// Why the phase was entered, as written to the log.
+  /// Returns why the phase was entered, as written to the log.
   const char* reason() const { return reason_; }
   double share() const;
   const VersionComparison& comparison() const { return comparison_; }
--- a/lavenderkeel/rollout/rollout_wire.h
+++ b/lavenderkeel/rollout/rollout_wire.h
@@ -13,8 +13,8 @@
 RolloutCounts FromWire(const fbs::RolloutCountsT& wire);
 
 std::unique_ptr<fbs::RolloutPlanT> ToWire(const RolloutPlan& plan);
-/// An unknown phase is read as the one that gives the new version the fewest
-/// requests.
+/// Decodes a plan. Reads an unknown phase as the one that gives the new version
+/// the fewest requests.
 RolloutPlan FromWire(const fbs::RolloutPlanT& wire);
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/rollout/service_versions.h
+++ b/lavenderkeel/rollout/service_versions.h
@@ -8,23 +8,24 @@
 
 namespace lavenderkeel {
 
-/// The version of each service that is in force unless an order says otherwise.
+/// The baseline of each service: the version that its requests use unless an
+/// order names another.
 ///
-/// It is the version of most servers when they were first listed, and stays so
-/// while one of them is usable: a version whose servers are added later is not
-/// in force until it is ordered.
+/// The baseline is the version of most servers when they were first listed, and
+/// remains so while one of its servers is usable: a version whose servers are
+/// added later is not used until an order names it.
 class ServiceVersions {
  public:
   explicit ServiceVersions(const ServerDirectory& directory)
       : directory_(directory) {}
 
-  /// Empty if the service has never had servers.
+  /// Returns the baseline; empty if the service has never had servers.
   /// @param excluded a version that is not considered
   const std::string& Baseline(const std::string& service,
                               const std::string& excluded = {});
-  /// Called when an order takes effect.
+  /// Replaces the baseline when an order takes effect.
   void SetBaseline(const std::string& service, const std::string& version);
-  /// The number of usable servers of the version.
+  /// Returns the number of usable servers of the version.
   size_t CountServers(const std::string& service, const std::string& version);
 
  private:
--- a/lavenderkeel/rollout/version_comparison.h
+++ b/lavenderkeel/rollout/version_comparison.h
@@ -9,18 +9,18 @@
 
 namespace lavenderkeel {
 
-/// A test of whether a new version does worse than the baseline over the same
-/// time.
+/// A statistical test of whether a new version does worse than the baseline
+/// over the same time.
 ///
 /// Per route and in total, a cumulative sum of log likelihood ratios (CUSUM)
 /// tests whether more of the new version's answers fail, or are slow, than of
-/// the baseline's. A sum never falls below zero, so a version that turns bad
-/// late is found as soon as one that is bad from the start.
+/// the baseline's. A sum never falls below zero, so a version that becomes bad
+/// later is detected after as few answers as one that is bad from the start.
 class VersionComparison {
  public:
   struct Options {
-    /// The version is worse if a sum reaches this. Chance alone causes that
-    /// about once in 20,000 answers.
+    /// The version is worse if a sum reaches this. A version equal to the
+    /// baseline reaches this by chance about once in 20,000 answers.
     double alarm_score = 10;
     /// The version is in doubt if a sum reaches this.
     double doubt_score = 4;
@@ -30,11 +30,11 @@
     double failure_increase_per_baseline = 0.7;
     /// Lower bound of the baseline's estimated failure fraction.
     double min_failures = 0.005;
-    /// The same for slow answers.
+    /// The corresponding increase and lower bound for slow answers.
     double slow_increase = 0.4;
     double min_slow = 0.03;
-    /// Weight of a lost connection relative to a failed answer: servers crash
-    /// whatever their version.
+    /// Weight of a lost connection relative to a failed answer; lower, since
+    /// servers of any version may crash.
     double broken_weight = 0.25;
     /// Bad answers of a single server count up to the first value plus the
     /// second times the mean of the other servers: a fault of a server affects
@@ -49,13 +49,13 @@
   void AddBaseline(uint64_t route, const AnswerCounts& added);
   void AddCanary(uint64_t route, uint64_t server, const AnswerCounts& added);
 
-  /// The highest sum over all routes and the total.
+  /// Returns the highest sum over all routes and the total.
   double failure_score() const;
   double slow_score() const;
   double score() const { return std::max(failure_score(), slow_score()); }
   bool worse() const { return score() >= options_.alarm_score; }
   bool in_doubt() const { return score() >= options_.doubt_score; }
-  /// Answers of the new version that were compared.
+  /// Returns the number of answers of the new version that were compared.
   uint32_t answers() const { return answers_; }
 
  private:
@@ -65,8 +65,8 @@
     double bad = 0;
 
     void Add(uint32_t added, double added_bad);
-    /// The estimate, drawn towards a small fraction while there are few
-    /// samples.
+    /// Returns an upper estimate of the fraction, biased towards a small prior
+    /// fraction while there are few samples.
     /// @param min_fraction lower bound of the estimate
     double Estimate(double min_fraction) const;
   };
@@ -76,7 +76,7 @@
     double failure_score = 0;
     double slow_score = 0;
   };
-  /// Bad answers per server, to tell a bad server from a bad version.
+  /// Bad answers per server, to distinguish a bad server from a bad version.
   class BadAnswersByServer {
    public:
     /// @return how many of the `added` bad answers count against the version
--- a/lavenderkeel/rollout/version_selector.cc
+++ b/lavenderkeel/rollout/version_selector.cc
@@ -38,8 +38,8 @@
       rollout = {.plan = plan};
       rollout.counts.order = plan.order;
     } else if (rollout.plan.phase == RolloutPhase::kRolledBack) {
-      // After a change of the deciding entry the new one may have seen fewer
-      // failures.
+      // A new deciding entry may have counted fewer failures than the former
+      // one, and so not have rolled the version back.
       continue;
     }
     if (rollout.plan.phase != plan.phase ||
@@ -98,7 +98,7 @@
   if (!plan.from.empty()) {
     return plan.from;
   }
-  // The deciding entry doesn't know the service's servers yet.
+  // The deciding entry has not read the service's servers yet.
   const std::string& baseline = versions_.Baseline(plan.service, plan.to);
   return baseline.empty() || baseline == plan.to ? kNoVersion : baseline;
 }
--- a/lavenderkeel/rollout/version_selector.h
+++ b/lavenderkeel/rollout/version_selector.h
@@ -17,12 +17,12 @@
 
 namespace lavenderkeel {
 
-/// Selects the version that a request of this entry may run at, and counts the
-/// outcomes by version.
+/// The selector of the version that a request of this entry may run at; also
+/// counts the outcomes by version.
 ///
-/// It follows the plans of the deciding entry. The new version's requests
-/// before the shift are limited here in proportion to this entry's own
-/// requests, so the limit holds without messages from other entries.
+/// Follows the plans of the deciding entry. Before the shift, the requests of
+/// this entry to the new version are limited in proportion to all requests of
+/// this entry, so the limit holds without messages from other entries.
 class VersionSelector {
  public:
   struct Options {
@@ -78,20 +78,21 @@
                   const Clock& clock,
                   const EventLog& log);
 
-  /// Takes the plans of the deciding entry, which arrive several times a
+  /// Applies the plans of the deciding entry, which arrive several times a
   /// second.
   void OnPlans(const std::vector<RolloutPlan>& plans);
-  /// The number of entries that share the exposure limit.
+  /// Sets the number of entries that share the exposure limit.
   void set_entries(size_t entries) { entries_ = entries; }
 
-  /// Whether it is known which versions may be used.
+  /// Returns whether the plans, and so the usable versions, are known.
   bool known() const { return !options_.bounds.enabled || known_; }
+  /// Chooses the servers that a request may run at.
   /// @param fresh the request has not run yet and isn't suspected of crashing
   ///     servers
   Choice Choose(const std::string& service,
                 const std::string& route,
                 bool fresh);
-  /// Whether a request may be sent to the version now.
+  /// Returns whether a request may be sent to the version now.
   bool Admits(const std::string& service, const std::string& version);
 
   Attempt OnSent(const std::string& service,
@@ -99,7 +100,7 @@
                  const BackendServer& server,
                  int in_flight,
                  bool fresh);
-  /// The attempt ended, with or without an answer.
+  /// Handles the end of an attempt, with or without an answer.
   void OnAttemptEnd(const std::string& service, Attempt& attempt);
   void OnAnswered(const std::string& service, const Attempt& attempt);
   void OnFailed(const std::string& service, const Attempt& attempt);
@@ -112,7 +113,7 @@
   void OnEventInterval(const std::string& service,
                        Attempt& attempt,
                        Duration took);
-  /// No chunk of the answer has arrived for this long.
+  /// Records that no chunk of the answer has arrived for this long.
   void OnNoAnswerYet(const std::string& service,
                      Attempt& attempt,
                      Duration since);
@@ -138,12 +139,12 @@
   RolloutState* Find(const std::string& service);
   RolloutState* FindCounted(const std::string& service, const Attempt& attempt);
   bool HasPlanLease(const RolloutState& rollout) const;
-  /// The version that requests stay at; kNoVersion if only the new version has
-  /// servers.
+  /// Returns the version for requests that don't go to the new one; kNoVersion
+  /// if only the new version has servers.
   std::string BaselineVersion(const RolloutPlan& plan);
   bool TakeCanaryCredit(RolloutState& rollout, const std::string& route);
   bool IsSlow(double ms, const UpperQuantileEstimator& usual) const;
-  /// The latency in milliseconds, scaled to an empty server.
+  /// Returns the latency in milliseconds that is expected at an empty server.
   double UnloadedMilliseconds(const Attempt& attempt, Duration took) const;
   AnswerCounts& CountsOf(RolloutState& rollout, const Attempt& attempt);
   void RecordLatency(const std::string& service,
--- a/lavenderkeel/routing/router.h
+++ b/lavenderkeel/routing/router.h
@@ -27,7 +27,8 @@
   friend bool operator==(const Candidate&, const Candidate&) = default;
 };
 
-/// Ranks the agents that can take a request by estimated time to first token.
+/// The ranking of the agents that can take a request, by estimated time to the
+/// first token.
 class Router {
  public:
   /// Estimates the time to the first token at an agent; replaceable to compare
@@ -47,17 +48,17 @@
   std::vector<Candidate> Choose(const RouteRequest& request,
                                 size_t count) const;
 
-  /// True if any agent can take the request.
+  /// Returns true if any agent can take the request.
   bool HasUsableAgent(const RouteRequest& request) const {
     return !UsableAgents(request).empty();
   }
 
-  /// True while repeatable work of a lower tier runs at an agent that can take
-  /// the request.
+  /// Returns true while repeatable work of a lower tier runs at an agent that
+  /// can take the request.
   bool IsLowerTierRunning(const RouteRequest& request) const;
 
-  /// Sum of the queueing time behind this and higher tiers and the prefill
-  /// time, both at the agent's measured speed.
+  /// Returns the sum of the queueing time behind this and higher tiers and the
+  /// prefill time, both at the agent's observed speed.
   static Duration EstimateFirstToken(const Member& agent,
                                      const RouteRequest& request);
 
--- a/test/crash/crash_guard_test.cc
+++ b/test/crash/crash_guard_test.cc
@@ -19,7 +19,7 @@
           return rank;
         }) {}
 
-  /// Lets the request crash this many servers, one after the other.
+  /// Simulates that the request crashes this many servers, one after the other.
   void LoseServers(int servers) {
     for (int i = 0; i < servers; ++i) {
       const TimePoint sent = clock.Now();
@@ -47,8 +47,8 @@
 
 }  // namespace
 
-// Guards against a doubtful request that runs beside an equal one, so that both
-// could crash a server.
+// Guards against a doubtful request that runs at the same time as an equal one,
+// so that both could crash a server.
 BOOST_AUTO_TEST_CASE(DoubtfulRequestRunsAlone) {
   Harness harness;
   harness.LoseServers(1);
@@ -74,7 +74,7 @@
 }
 
 // Guards against entries that all test a blocked request at the same moment.
-BOOST_AUTO_TEST_CASE(EntriesTestABlockedRequestInTurn) {
+BOOST_AUTO_TEST_CASE(EntriesTestABlockedRequestSequentially) {
   Harness harness(/*rank=*/2);
   harness.LoseServers(3);
   harness.clock.Advance(seconds(61));
@@ -83,8 +83,8 @@
   BOOST_CHECK(harness.Decide() == Kind::kRun);
 }
 
-// Guards against entries that each lose a server to learn what one trial run
-// shows.
+// Guards against trial runs at several entries, each of which could lose a
+// server, where the result of one is enough.
 BOOST_AUTO_TEST_CASE(OtherEntriesWaitForATrialResult) {
   Harness first;
   Harness other(/*rank=*/1);
@@ -107,8 +107,8 @@
   BOOST_CHECK(other.Decide() == Kind::kRun);
 }
 
-// Guards against an entry that runs poison requests before it has the evidence
-// of the others.
+// Guards against a newly started entry that runs poison requests before it has
+// the reports of another.
 BOOST_AUTO_TEST_CASE(JoiningEntryWaitsForEvidence) {
   Harness harness;
   harness.guard.Join();
@@ -121,8 +121,8 @@
   BOOST_CHECK(harness.Decide() == Kind::kRun);
 }
 
-// Guards against an answer of a restarted server that is taken for one of its
-// lost incarnation with the same id.
+// Guards against removing the loss of a server because its restarted successor
+// with the same id answers.
 BOOST_AUTO_TEST_CASE(AnswerOfARestartedServerDoesNotVoidTheLoss) {
   Harness harness;
   harness.LoseServers(3);
@@ -145,7 +145,7 @@
   harness.guard.OnRequestArrived(kRequest);
   const std::vector<CrashReport> reports = harness.guard.TakeNewReports();
   BOOST_REQUIRE(reports.size() == 1U);
-  BOOST_CHECK(reports.front().kind == CrashReport::Kind::kComesAgain);
+  BOOST_CHECK(reports.front().kind == CrashReport::Kind::kRequestArrived);
 }
 
 }  // namespace lavenderkeel
--- a/test/crash/crash_ledger_test.cc
+++ b/test/crash/crash_ledger_test.cc
@@ -30,14 +30,14 @@
       .kind = Kind::kSurvived, .request = kRequest, .ended = kStart + ended};
 }
 
-CrashReport ServerLives(uint64_t server, Duration sent) {
-  return {.kind = Kind::kServerLives,
+CrashReport ServerAlive(uint64_t server, Duration sent) {
+  return {.kind = Kind::kServerAlive,
           .server = server,
           .sent = kStart + sent,
           .ended = kStart + sent};
 }
 
-/// A ledger with three sequential losses, one second apart.
+/// Returns a ledger with three sequential losses, one second apart.
 CrashLedger MakeBlockedLedger() {
   CrashLedger ledger;
   for (uint64_t i = 0; i < 3; ++i) {
@@ -49,8 +49,9 @@
 
 }  // namespace
 
-// Guards against a poison request that is never blocked.
-BOOST_AUTO_TEST_CASE(LossesInTurnBlockARequest) {
+// Guards against a poison request that is never blocked although it crashes
+// servers one after the other.
+BOOST_AUTO_TEST_CASE(SequentialLossesBlockARequest) {
   CrashLedger ledger;
   BOOST_CHECK(ledger.Assess(kRequest).suspicion == CrashSuspicion::kClear);
   ledger.AddReport(Lost(1, seconds(0), milliseconds(50)), kStart);
@@ -61,8 +62,8 @@
   BOOST_CHECK(ledger.Assess(kRequest).suspicion == CrashSuspicion::kBlocked);
 }
 
-// Guards against blaming a request that runs everywhere for servers that end
-// together.
+// Guards against blocking a request that runs at all servers when they end at
+// the same time for another reason.
 BOOST_AUTO_TEST_CASE(OverlappingLossesCountOnce) {
   CrashLedger ledger;
   for (uint64_t server = 1; server <= 6; ++server) {
@@ -85,12 +86,12 @@
   BOOST_TEST(ledger.AddReport(Lost(9, seconds(6), seconds(7)), kStart));
 }
 
-// Guards against broken connections that are taken for the end of a server.
+// Guards against counting broken connections as the loss of a server.
 BOOST_AUTO_TEST_CASE(LossIsVoidIfTheServerAnswersLater) {
   CrashLedger ledger = MakeBlockedLedger();
-  BOOST_TEST(!ledger.AddReport(ServerLives(3, seconds(2)), kStart));
+  BOOST_TEST(!ledger.AddReport(ServerAlive(3, seconds(2)), kStart));
   BOOST_CHECK(ledger.Assess(kRequest).suspicion == CrashSuspicion::kBlocked);
-  BOOST_TEST(ledger.AddReport(ServerLives(3, seconds(3)), kStart + seconds(3)));
+  BOOST_TEST(ledger.AddReport(ServerAlive(3, seconds(3)), kStart + seconds(3)));
   BOOST_CHECK(ledger.Assess(kRequest).suspicion == CrashSuspicion::kDoubtful);
   BOOST_TEST(!ledger.HasLossOf(3));
   BOOST_TEST(!ledger.AddReport(
@@ -106,8 +107,8 @@
   BOOST_TEST(ledger.Assess(kRequest).lost == 1U);
 }
 
-// Guards against a request that stays blocked after its cause is gone, and
-// against one that is tested without end.
+// Guards against a request that stays blocked after the cause of its crashes
+// was removed, and against one that is retested without end.
 BOOST_AUTO_TEST_CASE(BlockedRequestIsTestedOnceMore) {
   CrashLedger ledger = MakeBlockedLedger();
   const TimePoint last = kStart + seconds(2) + milliseconds(50);
@@ -122,7 +123,8 @@
   CrashLedger ledger = MakeBlockedLedger();
   const TimePoint seen = kStart + minutes(8);
   BOOST_TEST(ledger.AddReport(
-      {.kind = Kind::kComesAgain, .request = kRequest, .ended = seen}, seen));
+      {.kind = Kind::kRequestArrived, .request = kRequest, .ended = seen},
+      seen));
   ledger.ForgetExpired(kStart + minutes(12));
   BOOST_CHECK(ledger.Assess(kRequest).suspicion == CrashSuspicion::kBlocked);
   ledger.ForgetExpired(seen + minutes(10) + seconds(1));
@@ -130,7 +132,8 @@
   BOOST_TEST(!ledger.HasLossOf(1));
 }
 
-// Guards against memory that grows with the requests of lost servers.
+// Guards against memory that grows with the requests of lost servers, and
+// against evicting a blocked request before suspect ones.
 BOOST_AUTO_TEST_CASE(BlockedRequestsAreEvictedLast) {
   CrashLedger ledger({.max_requests = 10});
   for (const CrashReport& report : MakeBlockedLedger().All()) {
@@ -150,13 +153,13 @@
   BOOST_TEST(ledger.Assess(kRequest).lost == 8U);
 }
 
-// Guards against taking another entry's clock for the local one.
+// Guards against reading times of another entry's clock as local times.
 BOOST_AUTO_TEST_CASE(ReportsAreExchangedAsAges) {
   const std::vector<CrashReport> reports = MakeBlockedLedger().All();
   const TimePoint sent_at = kStart + seconds(10);
   const Duration other_clock = std::chrono::hours(5);
-  const CrashNews news = ToWire(reports, /*complete=*/true, sent_at);
-  std::vector<CrashReport> read = FromWire(news, sent_at + other_clock);
+  const CrashNews message = ToWire(reports, /*complete=*/true, sent_at);
+  std::vector<CrashReport> read = FromWire(message, sent_at + other_clock);
   BOOST_REQUIRE(read.size() == reports.size());
   for (size_t i = 0; i < read.size(); ++i) {
     BOOST_CHECK(read[i].ended == reports[i].ended + other_clock);
--- a/test/dispatch/crashing_lookup_test.cc
+++ b/test/dispatch/crashing_lookup_test.cc
@@ -109,8 +109,8 @@
   CheckInvariants(simulation);
 }
 
-// Guards against the same failure with non-repeatable work that is sent under a
-// new key each time.
+// Guards against checks, sent under a new key each time, that crash one engine
+// after the other. Checks are non-repeatable work.
 BOOST_AUTO_TEST_CASE(CrashingCheckIsStoppedByAllEntries) {
   Simulation simulation({.entries = 3, .agents = 8, .seed = 5});
   const Counts counts = RunTraffic(simulation, {.is_non_repeatable = true});
@@ -119,8 +119,8 @@
   CheckInvariants(simulation);
 }
 
-// Guards against the same failure with a single entry, which gets no reports
-// from others.
+// Guards against a crashing lookup that a single entry, which gets no reports
+// from others, doesn't stop.
 BOOST_AUTO_TEST_CASE(CrashingLookupIsStoppedByOneEntry) {
   Simulation simulation({.entries = 1, .agents = 8, .seed = 5});
   const Counts counts = RunTraffic(simulation, {});
@@ -129,8 +129,8 @@
   CheckInvariants(simulation);
 }
 
-// Guards against the same failure while entries restart one after the other and
-// lose their crash reports.
+// Guards against a crashing lookup that runs again because entries restart one
+// after the other and lose their crash reports.
 BOOST_AUTO_TEST_CASE(CrashingLookupIsStoppedThoughEntriesRestart) {
   Simulation simulation({.entries = 3, .agents = 8, .seed = 5});
   RunTraffic(simulation,
@@ -148,7 +148,8 @@
   CheckInvariants(simulation);
 }
 
-// Guards against crash reports that depend on the platform.
+// Guards against crash reports that are not exchanged while the platform is
+// down.
 BOOST_AUTO_TEST_CASE(CrashingLookupIsStoppedWhileThePlatformIsDown) {
   Simulation simulation({.entries = 3, .agents = 8, .seed = 5});
   simulation.platform().set_mode(fakes::PlatformCore::Mode::kOutage);
@@ -182,8 +183,8 @@
   CheckInvariants(simulation);
 }
 
-// Guards against agents that have lost their engine, so that all their slots
-// are free, and attract the requests of the other agents.
+// Guards against lost requests at agents whose engine is down: all their slots
+// are free, so they would attract the requests of the other agents.
 BOOST_AUTO_TEST_CASE(LookupsAreServedWhileEnginesAreDown) {
   Simulation simulation({.entries = 2, .agents = 6, .seed = 5});
   for (const size_t agent : {0U, 1U, 2U}) {
--- a/test/dispatch/scenario_test.cc
+++ b/test/dispatch/scenario_test.cc
@@ -58,7 +58,7 @@
 // Guards against refusing checks with a deadline while lookups run: lookups
 // occupy every slot, no slot becomes free in time, and so the checks have to
 // preempt them.
-BOOST_AUTO_TEST_CASE(ChecksAreNotShedWhileLookupsRun) {
+BOOST_AUTO_TEST_CASE(ChecksAreNotRefusedWhileLookupsRun) {
   Simulation simulation({.seed = 3});
   for (int i = 0; i < 40; ++i) {
     simulation.Submit(i % 3, simulation.NewKey(), "l" + std::to_string(i) + "x",
@@ -80,7 +80,7 @@
 // Guards against "not run" after both holders of a claim are lost and one of
 // them restarts and leaves gracefully. The next entry in rank never held the
 // claim and must not vouch for the key: a retry gets "unknown" or the answer.
-BOOST_AUTO_TEST_CASE(LossOfBothHoldersIsRemembered) {
+BOOST_AUTO_TEST_CASE(NoEntryVouchesAfterBothHoldersAreLost) {
   Simulation simulation({.seed = 1});
   const std::string key = simulation.NewKey();
   simulation.Submit(0, key, "r0x", false, 3);
@@ -114,7 +114,7 @@
 
 // Guards against a second run, or a missing answer, of a lookup that is sent to
 // two entries: both hold a reservation for its key.
-BOOST_AUTO_TEST_CASE(SameLookupAtTwoEntries) {
+BOOST_AUTO_TEST_CASE(LookupSentToTwoEntriesIsAnswered) {
   Simulation simulation({.seed = 1});
   const std::string key = simulation.NewKey();
   simulation.Submit(0, key, "r0x", true, 9);
@@ -155,10 +155,10 @@
   BOOST_TEST(RunUntilAllConcluded(simulation));
 }
 
-// Guards against an engine that takes the run of a restarted agent for that of
-// its predecessor, whose stream was cancelled. The agent crashes without
-// closing its connections, and the lookup is sent to its successor.
-BOOST_AUTO_TEST_CASE(RestartedAgentRunsItsRequestAnew) {
+// Guards against an engine that serves a restarted agent the cancelled stream
+// of its predecessor instead of a new run. The agent crashes without closing
+// its connections, and the lookup is sent to its successor.
+BOOST_AUTO_TEST_CASE(RestartedAgentRunsTheRequestAgain) {
   Simulation simulation({.entries = 1, .agents = 1, .seed = 2});
   simulation.Submit(0, simulation.NewKey(), "r0x", true, 20);
   BOOST_REQUIRE(
--- a/test/gate/find_sent.h
+++ b/test/gate/find_sent.h
@@ -8,7 +8,7 @@
 
 namespace lavenderkeel {
 
-/// The first message of type T that is sent on the link; null if there is none.
+/// Returns the first message of type T that is sent on the link, or null.
 template <typename T>
 const T* FindSent(const std::vector<Action>& actions, LinkId link) {
   for (const Action& action : actions) {
--- a/test/gate/reservation_queue_test.cc
+++ b/test/gate/reservation_queue_test.cc
@@ -20,7 +20,9 @@
 
 }  // namespace
 
-RC_BOOST_PROP(HigherTierAlwaysGoesFirst, (const std::vector<uint8_t>& tiers)) {
+// Guards against a lower-tier reservation that starts while a higher tier
+// waits.
+RC_BOOST_PROP(HigherTierStartsFirst, (const std::vector<uint8_t>& tiers)) {
   ReservationQueue queue;
   for (size_t i = 0; i < tiers.size(); ++i) {
     queue.Add(Make(i, tiers[i] % 4, "team" + std::to_string(tiers[i] % 3)));
@@ -34,7 +36,9 @@
   RC_ASSERT(queue.size() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(EarliestDeadlineFirstInATier) {
+// Guards against deadlines that are missed because a later one in the tier
+// starts first, and against starvation of reservations without a deadline.
+BOOST_AUTO_TEST_CASE(EarliestDeadlineInATierStartsFirst) {
   ReservationQueue queue;
   Reservation late = Make(1, 0, "a");
   late.deadline = TimePoint(std::chrono::seconds(9));
@@ -52,7 +56,8 @@
       queue.Next(TimePoint(std::chrono::seconds(31)), kAnyTier)->key.lo == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(TeamsShareByWeight) {
+// Guards against a team that gets more or less than the share of its weight.
+BOOST_AUTO_TEST_CASE(TeamsStartInProportionToTheirWeight) {
   ReservationQueue queue;
   for (uint64_t i = 0; i < 100; ++i) {
     Reservation large = Make(i, 0, "large");
--- a/test/gate/seal_test.cc
+++ b/test/gate/seal_test.cc
@@ -14,7 +14,7 @@
 }  // namespace
 
 // Guards against a key that runs twice: the first entry holds a slot offer and
-// stalls, the second takes it for dead, gets NotHere from a sealing Attach and
+// stalls, the second presumes it lost, gets NotHere from a sealing Attach and
 // will run the key elsewhere. A late Go from the first entry must be refused.
 BOOST_AUTO_TEST_CASE(GoAfterSealIsRefused) {
   const fuzz::VirtualClock clock;
--- a/test/rollout/rollout_controller_test.cc
+++ b/test/rollout/rollout_controller_test.cc
@@ -135,7 +135,7 @@
 
 // Guards against a rolled-back version that is rolled out again after all
 // entries restarted.
-BOOST_AUTO_TEST_CASE(RecordedEndHoldsAfterARestart) {
+BOOST_AUTO_TEST_CASE(RecordedEndIsKeptAfterARestart) {
   Harness harness;
   RolloutOrder ended = harness.Order(9);
   ended.record = {.state = State::kRolledBack, .to = "v2", .from = "v1"};
@@ -145,7 +145,7 @@
   BOOST_TEST(harness.written.empty());
 }
 
-// Guards against traffic that follows an order after its removal.
+// Guards against an order that still routes requests after its removal.
 BOOST_AUTO_TEST_CASE(WithdrawnOrderHasNoPlan) {
   Harness harness;
   harness.rollouts.OnList({harness.Order(5)});
--- a/test/rollout/rollout_plays_test.cc
+++ b/test/rollout/rollout_plays_test.cc
@@ -20,8 +20,8 @@
   kGreyServers,
   kServersCrash,
   kEntryKilled,
-  kAllKilled,
-  kEntryCut,
+  kAllEntriesKilled,
+  kEntryPartitioned,
   kStoreDown,
 };
 constexpr int kDisturbances = 8;
@@ -33,7 +33,7 @@
   uint64_t seed = 0;
 
   bool bad() const { return fault.share > 0; }
-  /// Whether too few answers are bad for an early verdict.
+  /// Returns whether too few answers are bad for an early detection.
   bool faint() const { return bad() && fault.share < 0.1; }
 };
 
@@ -63,7 +63,7 @@
   return scenario;
 }
 
-struct PlayOutcome {
+struct ScenarioOutcome {
   std::string state;
   double excess_exposure = 0;
   int late_arrivals = 0;
@@ -91,12 +91,12 @@
     case Disturbance::kEntryKilled:
       simulation.Restart(static_cast<int>(scenario.seed % 4));
       break;
-    case Disturbance::kAllKilled:
+    case Disturbance::kAllEntriesKilled:
       for (int entry = 0; entry < 4; ++entry) {
         simulation.Restart(entry);
       }
       break;
-    case Disturbance::kEntryCut:
+    case Disturbance::kEntryPartitioned:
       for (int other = 1; other < 4; ++other) {
         simulation.fleet().set_cut(0, other, true);
       }
@@ -117,14 +117,15 @@
   }
 }
 
-PlayOutcome Play(const Scenario& scenario) {
-  const bool wanted = std::getenv("ROLLOUT_LOG") != nullptr;
-  const EventLog log = wanted ? EventLog([](LogLevel, const std::string& line) {
-    if (line.find("event=rollout") != std::string::npos) {
-      BOOST_TEST_MESSAGE(line);
-    }
-  })
-                              : EventLog();
+ScenarioOutcome RunScenario(const Scenario& scenario) {
+  const bool log_enabled = std::getenv("ROLLOUT_LOG") != nullptr;
+  const EventLog log =
+      log_enabled ? EventLog([](LogLevel, const std::string& line) {
+        if (line.find("event=rollout") != std::string::npos) {
+          BOOST_TEST_MESSAGE(line);
+        }
+      })
+                  : EventLog();
   RolloutSimulation simulation({.seed = scenario.seed, .log = log});
   simulation.RunFor(seconds(3));
   simulation.OrderRollout();
@@ -147,24 +148,25 @@
           .exposed = simulation.versions().ArrivalsAt("v2")};
 }
 
-int Plays() {
+/// Returns the last seed.
+int LastSeed() {
 #ifdef __SANITIZE_ADDRESS__
-  // A play takes several seconds under the sanitizers.
-  constexpr int kInCi = 8;
+  // A scenario takes several seconds under the sanitizers.
+  constexpr int kLastInCi = 8;
 #else
-  constexpr int kInCi = 60;
+  constexpr int kLastInCi = 60;
 #endif
-  const char* wanted = std::getenv("ROLLOUT_PLAYS");
-  return wanted == nullptr ? kInCi : std::atoi(wanted);
+  const char* last = std::getenv("ROLLOUT_PLAYS");
+  return last == nullptr ? kLastInCi : std::atoi(last);
 }
 
-/// An odd seed, which selects a bad version.
-int FirstPlay() {
+/// Returns the first seed, an odd one, which selects a bad version.
+int FirstSeed() {
   const char* first = std::getenv("ROLLOUT_FIRST");
   return first == nullptr ? 1 : std::atoi(first);
 }
 
-std::string Describe(const Scenario& scenario, const PlayOutcome& outcome) {
+std::string Describe(const Scenario& scenario, const ScenarioOutcome& outcome) {
   const VersionFault& fault = scenario.fault;
   return "seed " + std::to_string(scenario.seed) + " disturbance " +
          std::to_string(static_cast<int>(scenario.disturbance)) + " at " +
@@ -183,12 +185,12 @@
 }
 
 void CheckBadVersions(bool faint) {
-  for (int seed = FirstPlay(); seed <= Plays(); seed += 2) {
+  for (int seed = FirstSeed(); seed <= LastSeed(); seed += 2) {
     const Scenario scenario = DrawScenario(static_cast<uint64_t>(seed));
     if (scenario.faint() != faint) {
       continue;
     }
-    const PlayOutcome outcome = Play(scenario);
+    const ScenarioOutcome outcome = RunScenario(scenario);
     BOOST_TEST_CONTEXT(Describe(scenario, outcome)) {
       BOOST_TEST(outcome.excess_exposure <= 0);
       BOOST_TEST(outcome.late_arrivals == 0);
@@ -205,7 +207,8 @@
   CheckBadVersions(/*faint=*/false);
 }
 
-// The same for versions of which one answer in twenty is bad.
+// Guards against the same failure of versions of which one answer in twenty is
+// bad.
 BOOST_AUTO_TEST_CASE(FaintlyBadVersionsGetNoMoreThanTheyMay) {
   CheckBadVersions(/*faint=*/true);
 }
@@ -213,9 +216,9 @@
 // Guards against a good version that is rolled back because of faults of
 // servers, entries or the store.
 BOOST_AUTO_TEST_CASE(GoodVersionsAreCompleted) {
-  for (int seed = FirstPlay() + 1; seed <= Plays(); seed += 2) {
+  for (int seed = FirstSeed() + 1; seed <= LastSeed(); seed += 2) {
     const Scenario scenario = DrawScenario(static_cast<uint64_t>(seed));
-    const PlayOutcome outcome = Play(scenario);
+    const ScenarioOutcome outcome = RunScenario(scenario);
     BOOST_TEST_CONTEXT(Describe(scenario, outcome)) {
       BOOST_TEST(outcome.state == "completed");
       if (scenario.disturbance == Disturbance::kNone) {
--- a/test/rollout/rollout_simulation.h
+++ b/test/rollout/rollout_simulation.h
@@ -36,19 +36,20 @@
   void SetRate(double requests_per_second) { rate_ = requests_per_second; }
   void Restart(int entry);
 
-  /// The state that the entries recorded; empty before the first record.
+  /// Returns the state that the entries recorded; empty before the first
+  /// record.
   std::string State() const;
   std::optional<TimePoint> ended_at() const { return ended_at_; }
   TimePoint ordered_at() const { return ordered_at_; }
   TimePoint due() const { return ordered_at_ + options_.order_duration; }
 
-  /// Requests at "v2" between the order and its time limit in excess of the
-  /// exposure limit; not positive if the limit was kept.
+  /// Returns by how many requests "v2" exceeded the exposure limit between the
+  /// order and its time limit; not positive if the limit was kept.
   double ExcessExposure() const;
-  /// Requests that reached "v2" more than the permitted rollback time after its
-  /// fiftieth bad answer.
+  /// Returns the number of requests that reached "v2" more than the permitted
+  /// rollback time after its fiftieth bad answer.
   int LateArrivals() const;
-  /// Fraction of the requests that were answered with status 200.
+  /// Returns the fraction of the requests that were answered with status 200.
   double Served() const;
 
   fakes::FleetSimulation& fleet() { return fleet_; }
@@ -62,7 +63,7 @@
   };
 
   void Send();
-  /// Acts as the platform once the rollout has ended.
+  /// Stops or drains servers as the platform does once the rollout has ended.
   void ApplyState();
 
   Options options_;
--- a/test/rollout/simulated_versions.cc
+++ b/test/rollout/simulated_versions.cc
@@ -260,7 +260,7 @@
   if (applies && Draw(fault_.share)) {
     bad_answers_.push_back(now);
     run.fails = run.fails || fault_.kind == VersionFault::Kind::kFails;
-    run.cuts = fault_.kind == VersionFault::Kind::kCuts;
+    run.disconnects = fault_.kind == VersionFault::Kind::kDisconnects;
     ms *= fault_.kind == VersionFault::Kind::kSlow ? fault_.factor : 1;
   }
   run.first_at = now + FromMilliseconds(ms);
@@ -292,7 +292,7 @@
     Run ended = std::move(run);
     runs_.erase(runs_.begin() + static_cast<ptrdiff_t>(i));
     --servers_[ended.server].running;
-    if (ended.cuts) {
+    if (ended.disconnects) {
       Fail(ended, AttemptFailure::kDisconnected);
     } else if (ended.streams && !ended.fails) {
       SendChunk(ended, /*last=*/true);
--- a/test/rollout/simulated_versions.h
+++ b/test/rollout/simulated_versions.h
@@ -13,14 +13,14 @@
 
 /// How a version is bad; a version with share 0 is good.
 struct VersionFault {
-  enum class Kind { kFails, kSlow, kCuts };
+  enum class Kind { kFails, kSlow, kDisconnects };
 
   Kind kind = Kind::kFails;
   /// Fraction of the answers that are affected.
   double share = 0;
   /// Latency multiple of slow answers.
   double factor = 4;
-  /// Time from the order until the version turns bad.
+  /// Time from the order until the version becomes bad.
   Duration from{};
   /// Only while at least half of a server's slots are in use.
   bool under_load = false;
@@ -63,10 +63,10 @@
   /// Advances the time of the fleet and the servers.
   void Advance(Duration by);
 
-  /// The server loses its runs and restarts after `down`.
+  /// Makes the server lose its runs and restart after `down`.
   void Crash(const std::string& version, int index, Duration down);
-  /// Makes the server fail this fraction of its answers until then, whatever
-  /// its version.
+  /// Makes the server fail this fraction of its answers until the given time,
+  /// whatever its version.
   void SetGreyFailure(const std::string& version,
                       int index,
                       double share,
@@ -74,10 +74,10 @@
 
   const std::vector<Arrival>& arrivals() const { return arrivals_; }
   int ArrivalsAt(const std::string& version) const;
-  /// The times at which the bad version's faults affected an answer.
+  /// Returns the times at which the bad version's faults affected an answer.
   const std::vector<TimePoint>& bad_answers() const { return bad_answers_; }
   int RunningAt(const std::string& version) const;
-  /// Requests that were cut off when their servers were stopped.
+  /// Returns the number of requests cut off when their servers were stopped.
   int cut_by_stop() const { return cut_by_stop_; }
 
  private:
@@ -100,7 +100,7 @@
     size_t server = 0;
     bool streams = false;
     bool fails = false;
-    bool cuts = false;
+    bool disconnects = false;
     bool head_sent = false;
     TimePoint first_at;
     TimePoint ends_at;
--- a/test/rollout/version_comparison_test.cc
+++ b/test/rollout/version_comparison_test.cc
@@ -28,31 +28,30 @@
 
 }  // namespace
 
-// Guards against a verdict by chance against a version that fails as often as
-// the baseline.
+// Guards against rejecting, by chance, a version that fails as often as the
+// baseline.
 BOOST_AUTO_TEST_CASE(EqualVersionsAreNotWorse) {
   VersionComparison comparison = WithBaseline(1000, 50);
   AddCanary(comparison, 300, 20);
   BOOST_TEST(!comparison.worse());
 }
 
-// Guards against a version that fails more often than the baseline and is not
-// found.
+// Guards against missing a version that fails more often than the baseline.
 BOOST_AUTO_TEST_CASE(VersionThatFailsMoreOftenIsFound) {
   VersionComparison comparison = WithBaseline(1000, 50);
   AddCanary(comparison, 100, 3);
   BOOST_TEST(comparison.worse());
 }
 
-// Guards against a version whose good start hides that it turned bad.
-BOOST_AUTO_TEST_CASE(VersionThatTurnsBadIsFoundAsSoon) {
+// Guards against missing a version that becomes bad after many good answers.
+BOOST_AUTO_TEST_CASE(VersionThatBecomesBadLaterIsFound) {
   VersionComparison comparison = WithBaseline(1000, 10);
   AddCanary(comparison, 2000, 0);
   AddCanary(comparison, 60, 3);
   BOOST_TEST(comparison.worse());
 }
 
-// Guards against one bad server that is taken for a bad version.
+// Guards against rejecting a version because of one bad server.
 BOOST_AUTO_TEST_CASE(FailuresOfOneServerDoNotBlameTheVersion) {
   VersionComparison comparison = WithBaseline(1000, 10);
   AddCanary(comparison, 200, 0);
@@ -60,8 +59,8 @@
   BOOST_TEST(!comparison.worse());
 }
 
-// Guards against a crash, which ends all requests of a server at once, that is
-// taken for a bad version.
+// Guards against rejecting a version because of a crash, which ends all
+// requests of a server at once.
 BOOST_AUTO_TEST_CASE(LostConnectionsOfACrashDoNotBlameTheVersion) {
   VersionComparison comparison = WithBaseline(1000, 10);
   AddCanary(comparison, 50, 0);
@@ -71,8 +70,8 @@
   BOOST_TEST(!comparison.in_doubt());
 }
 
-// Guards against blaming the new version for a route whose requests also fail
-// at the baseline, before the baseline has samples.
+// Guards against rejecting a version because of a route whose requests also
+// fail at the baseline, before the baseline has samples.
 BOOST_AUTO_TEST_CASE(NoVerdictBeforeTheBaselineHasSamples) {
   VersionComparison comparison;
   AddCanary(comparison, 20, 5);
--- a/test/rollout/version_selector_test.cc
+++ b/test/rollout/version_selector_test.cc
@@ -62,8 +62,8 @@
 
 }  // namespace
 
-// Guards against requests to a version that an order not yet read has ruled
-// out.
+// Guards against requests to a version that an order has ruled out while this
+// entry has not received the orders' plans yet.
 BOOST_AUTO_TEST_CASE(NothingIsSentBeforeTheOrdersAreKnown) {
   Harness harness;
   BOOST_TEST(!harness.selector.known());
@@ -93,7 +93,8 @@
               VersionSelector::Choice{.version = "v1"}));
 }
 
-// Guards against a slot granted before the rollback that is used after it.
+// Guards against a request that uses a slot after the rollback because the slot
+// was granted before.
 BOOST_AUTO_TEST_CASE(RolledBackVersionIsNotAdmitted) {
   Harness harness;
   harness.SetPlan(RolloutPhase::kShift);
@@ -136,9 +137,9 @@
   }
 }
 
-// Guards against opening the new version when the deciding entry has no server
-// list and names no old version.
-BOOST_AUTO_TEST_CASE(PlanWithoutAnOldVersionDoesNotOpenTheNewOne) {
+// Guards against admitting the new version when the deciding entry has no
+// server list and names no old version.
+BOOST_AUTO_TEST_CASE(PlanWithoutAnOldVersionDoesNotAdmitTheNewOne) {
   Harness harness;
   harness.SetPlan(RolloutPhase::kCanary, /*share=*/0, /*from=*/"");
   BOOST_TEST(harness.selector.Choose("plain", "route", true).version == "v1");
