--- a/bench/slope.h
+++ b/bench/fitted_line.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_BENCH_SLOPE_H_
-#define LAVENDERKEEL_BENCH_SLOPE_H_
+#ifndef LAVENDERKEEL_BENCH_FITTED_LINE_H_
+#define LAVENDERKEEL_BENCH_FITTED_LINE_H_
 
 #include <cmath>
 #include <string>
@@ -51,4 +51,4 @@
 
 }  // namespace lavenderkeel::bench
 
-#endif  // LAVENDERKEEL_BENCH_SLOPE_H_
+#endif  // LAVENDERKEEL_BENCH_FITTED_LINE_H_
--- a/bench/slopes.cc
+++ b/bench/slopes.cc
@@ -10,7 +10,7 @@
 #include <iostream>
 #include <memory>
 
-#include "bench/slope.h"
+#include "bench/fitted_line.h"
 #include "lavenderkeel/dispatch.h"
 #include "lavenderkeel/gate.h"
 #include "lavenderkeel/wire.h"
@@ -277,7 +277,7 @@
   const double before = HeapBytes();
   for (const RequestKey& key : keys) {
     Run& run = table.Add(key, TimePoint());
-    run.state = Run::State::kGone;
+    run.state = Run::State::kAnswerDropped;
     run.allowed = {.instance = "entry-govan-001", .incarnation = 1};
     run.reservation.team = "health-board-1";
     run.request_id = key.ToString() + ".1";
