--- a/bench/slope.h
+++ b/bench/fitted_line.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_BENCH_SLOPE_H_
-#define LAVENDERKEEL_BENCH_SLOPE_H_
+#ifndef LAVENDERKEEL_BENCH_FITTED_LINE_H_
+#define LAVENDERKEEL_BENCH_FITTED_LINE_H_
 
 #include <cmath>
 #include <string>
@@ -7,23 +7,23 @@
 
 namespace lavenderkeel::bench {
 
-/// A quantity measured at several sizes, with the line fitted through it.
-struct Slope {
+/// A quantity measured at several sizes, and the line fitted to it.
+struct FittedLine {
   std::string name;
-  /// Of what the size counts, and of the value.
+  /// Units of the sizes and of the values.
   std::string per;
   std::string unit;
   std::vector<double> sizes;
   std::vector<double> values;
   double slope = 0;
   double intercept = 0;
-  /// Root of the mean squared distance from the line, as a share of the
+  /// Root of the mean squared distance from the line, as a fraction of the
   /// largest value.
   double residual = 0;
 };
 
-/// Least squares.
-inline void Fit(Slope& line) {
+/// Fits the line by least squares.
+inline void Fit(FittedLine& line) {
   const auto count = static_cast<double>(line.sizes.size());
   double sum_x = 0;
   double sum_y = 0;
@@ -51,4 +51,4 @@
 
 }  // namespace lavenderkeel::bench
 
-#endif  // LAVENDERKEEL_BENCH_SLOPE_H_
+#endif  // LAVENDERKEEL_BENCH_FITTED_LINE_H_
--- a/bench/fleet.cc
+++ b/bench/fleet.cc
@@ -1,7 +1,8 @@
-// A fleet of real processes on loopback at rest: control bytes, processor time
-// and memory per daemon, and how long a preset switch takes to be in force at
-// every entry, also with the platform down right after acceptance.
-// Use: fleet ENTRIES AGENTS. JSON on standard output; stops by itself.
+// Measures an idle fleet of real processes on loopback: control bytes,
+// processor time and memory per daemon, and the time until a preset switch is
+// in force at every entry, also with an outage of the platform right after
+// acceptance.
+// Usage: fleet ENTRIES AGENTS. Prints JSON on standard output and exits.
 #include <unistd.h>
 
 #include <boost/json.hpp>
@@ -20,7 +21,7 @@
 namespace json = boost::json;
 using test::Cluster;
 
-constexpr Duration kRest = std::chrono::seconds(20);
+constexpr Duration kIdleTime = std::chrono::seconds(20);
 
 double MetricOf(const std::string& text, const std::string& name) {
   const size_t position = text.find("lavenderkeel_" + name + " ");
@@ -29,10 +30,10 @@
              : std::atof(text.c_str() + position + name.size() + 14);
 }
 
-/// Processor time in microseconds, and memory in bytes.
+/// Processor time, memory and peer traffic of a process.
 struct Usage {
-  double microseconds = 0;
-  double bytes = 0;
+  double processor_us = 0;
+  double memory_bytes = 0;
   double peer_bytes = 0;
 };
 
@@ -47,15 +48,15 @@
     user = i == 14 ? std::atof(field.c_str()) : user;
     system = i == 15 ? std::atof(field.c_str()) : system;
   }
-  usage.microseconds =
+  usage.processor_us =
       (user + system) * 1e6 / static_cast<double>(sysconf(_SC_CLK_TCK));
   std::ifstream rollup(base + "/statm");
   double pages = 0;
   double resident = 0;
   double shared = 0;
   rollup >> pages >> resident >> shared;
-  // Private memory: what is shared is the program text.
-  usage.bytes =
+  // Private memory, without the shared program text.
+  usage.memory_bytes =
       (resident - shared) * static_cast<double>(sysconf(_SC_PAGESIZE));
   return usage;
 }
@@ -63,18 +64,19 @@
 Usage EntryUsage(Cluster& cluster, size_t entry) {
   Usage usage = UsageOf(cluster, "entry-" + std::to_string(entry));
   const std::string metrics =
-      cluster.Call(cluster.Entry(entry), "GET", "/metrics").body;
+      cluster.Call(cluster.EntryAddress(entry), "GET", "/metrics").body;
   usage.peer_bytes = MetricOf(metrics, "peer_bytes_sent") +
                      MetricOf(metrics, "peer_bytes_received");
   return usage;
 }
 
-void Rest(Cluster& cluster) {
-  const TimePoint end = SystemClock().Now() + kRest;
+void StayIdle(Cluster& cluster) {
+  const TimePoint end = SystemClock().Now() + kIdleTime;
   cluster.Wait([end] { return SystemClock().Now() >= end; });
 }
 
-/// Milliseconds until every entry has the version.
+/// Returns the milliseconds from the request to switch the preset until every
+/// entry has the new configuration version.
 double SwitchTime(Cluster& cluster,
                   size_t entries,
                   const std::string& preset,
@@ -84,7 +86,7 @@
   cluster.Admin(0, "POST", "/admin/v1/preset",
                 R"({"name": ")" + preset + "\"}");
   if (outage) {
-    cluster.Call(cluster.Platform(), "POST", "/fault/outage");
+    cluster.Call(cluster.PlatformAddress(), "POST", "/fault/outage");
   }
   for (size_t i = 0; i < entries; ++i) {
     cluster.Wait([&] { return cluster.VersionAt(i) > before; });
@@ -94,32 +96,32 @@
 
 json::object MeasureFleet(size_t entries, size_t agents) {
   Cluster cluster({.entries = entries, .agents = agents});
-  Rest(cluster);
+  StayIdle(cluster);
   std::vector<Usage> before;
   for (size_t i = 0; i < entries; ++i) {
     before.push_back(EntryUsage(cluster, i));
   }
   const Usage agent_before = UsageOf(cluster, "agent-0");
-  Rest(cluster);
-  const double seconds = std::chrono::duration<double>(kRest).count();
+  StayIdle(cluster);
+  const double seconds = std::chrono::duration<double>(kIdleTime).count();
   Usage sum;
   for (size_t i = 0; i < entries; ++i) {
     const Usage after = EntryUsage(cluster, i);
-    sum.microseconds += after.microseconds - before[i].microseconds;
+    sum.processor_us += after.processor_us - before[i].processor_us;
     sum.peer_bytes += after.peer_bytes - before[i].peer_bytes;
-    sum.bytes += after.bytes;
+    sum.memory_bytes += after.memory_bytes;
   }
   const Usage agent = UsageOf(cluster, "agent-0");
   const auto count = static_cast<double>(entries);
   json::object result{
       {"entries", entries},
       {"agents", agents},
-      {"entry_core_share", sum.microseconds / count / seconds / 1e6},
-      {"entry_memory_bytes", sum.bytes / count},
+      {"entry_core_share", sum.processor_us / count / seconds / 1e6},
+      {"entry_memory_bytes", sum.memory_bytes / count},
       {"entry_peer_bytes_per_s", sum.peer_bytes / count / seconds},
       {"agent_core_share",
-       (agent.microseconds - agent_before.microseconds) / seconds / 1e6},
-      {"agent_memory_bytes", agent.bytes}};
+       (agent.processor_us - agent_before.processor_us) / seconds / 1e6},
+      {"agent_memory_bytes", agent.memory_bytes}};
   result["switch_ms"] = SwitchTime(cluster, entries, "peak", false);
   result["switch_then_outage_ms"] =
       SwitchTime(cluster, entries, "ordinary", true);
@@ -132,7 +134,7 @@
 
 int main(int argc, char** argv) {
   if (argc != 3) {
-    std::cerr << "use: fleet ENTRIES AGENTS\n";
+    std::cerr << "usage: fleet ENTRIES AGENTS\n";
     return 2;
   }
   std::cout << boost::json::serialize(lavenderkeel::bench::MeasureFleet(
--- a/bench/slopes.cc
+++ b/bench/slopes.cc
@@ -1,6 +1,7 @@
-// Measures how state, messages, bytes, processor time and memory grow with the
-// sizes that a fleet has, on the daemons' own components. JSON on standard
-// output; scripts/capacity-tables turns it into docs/CAPACITY.md's tables.
+// Measures how state, messages, bytes, processor time and memory of the
+// daemons' components grow with the sizes of a fleet. Prints JSON on standard
+// output, which scripts/capacity-tables turns into the tables of
+// docs/CAPACITY.md.
 #include <malloc.h>
 #include <sys/resource.h>
 
@@ -9,26 +10,26 @@
 #include <iostream>
 #include <memory>
 
-#include "bench/slope.h"
+#include "bench/fitted_line.h"
 #include "lavenderkeel/dispatch.h"
 #include "lavenderkeel/gate.h"
 #include "lavenderkeel/wire.h"
+#include "test/fuzz/simulation.h"
 #include "test/fuzz/virtual_clock.h"
-#include "test/fuzz/world.h"
 
 namespace lavenderkeel::bench {
 
 namespace {
 
 namespace json = boost::json;
+using fuzz::Simulation;
 using fuzz::VirtualClock;
-using fuzz::World;
 
 double HeapBytes() {
   return static_cast<double>(mallinfo2().uordblks);
 }
 
-/// User time of this process, in microseconds.
+/// Returns the user time of this process in microseconds.
 double UserMicroseconds() {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
@@ -38,12 +39,13 @@
 
 using Measure = std::function<double(size_t size)>;
 
-Slope MeasureLine(const std::string& name,
-                  const std::string& per,
-                  const std::string& unit,
-                  const std::vector<size_t>& sizes,
-                  const Measure& measure) {
-  Slope line{.name = name, .per = per, .unit = unit, .sizes = {}, .values = {}};
+FittedLine MeasureLine(const std::string& name,
+                       const std::string& per,
+                       const std::string& unit,
+                       const std::vector<size_t>& sizes,
+                       const Measure& measure) {
+  FittedLine line{
+      .name = name, .per = per, .unit = unit, .sizes = {}, .values = {}};
   for (const size_t size : sizes) {
     line.sizes.push_back(static_cast<double>(size));
     line.values.push_back(measure(size));
@@ -54,7 +56,7 @@
   return line;
 }
 
-std::vector<RequestKey> Keys(size_t count) {
+std::vector<RequestKey> MakeKeys(size_t count) {
   std::mt19937_64 random(1);
   std::vector<RequestKey> keys;
   keys.reserve(count);
@@ -79,7 +81,7 @@
 double ClaimBytes(size_t count) {
   const VirtualClock clock;
   ClaimTable table({}, clock, [](const RequestKey&) { return true; });
-  const std::vector<RequestKey> keys = Keys(count);
+  const std::vector<RequestKey> keys = MakeKeys(count);
   const double before = HeapBytes();
   for (const RequestKey& key : keys) {
     table.Request(key, SampleClaim(), {});
@@ -90,28 +92,29 @@
 double ClaimTime(size_t count) {
   const VirtualClock clock;
   ClaimTable table({}, clock, [](const RequestKey&) { return true; });
-  const std::vector<RequestKey> keys = Keys(count);
+  const std::vector<RequestKey> keys = MakeKeys(count);
   const double before = UserMicroseconds();
   for (const RequestKey& key : keys) {
     ClaimRequest request;
     request.key = ToWire(key);
-    PutClaim(SampleClaim(), request);
+    WriteClaim(SampleClaim(), request);
     const std::string frame = EncodeFrame(request);
     const std::vector<uint8_t> bytes(frame.begin(), frame.end());
     const auto message = Catch([&] { return DecodeFrame(bytes); });
     const auto& read = std::get<ClaimRequest>(*message.value);
-    table.Request(FromWire(read.key), TakeClaim(read), {});
+    table.Request(FromWire(read.key), ReadClaim(read), {});
   }
   return UserMicroseconds() - before;
 }
 
-/// What a claim of a request sends, at both holders and back.
+/// Returns the bytes sent for the claims of `count` requests, to both holders
+/// and back.
 double ClaimWireBytes(size_t count) {
   size_t bytes = 0;
-  for (const RequestKey& key : Keys(count)) {
+  for (const RequestKey& key : MakeKeys(count)) {
     ClaimRequest request;
     request.key = ToWire(key);
-    PutClaim(SampleClaim(), request);
+    WriteClaim(SampleClaim(), request);
     ClaimReply reply;
     reply.key = request.key;
     reply.granted = true;
@@ -137,7 +140,7 @@
   return ToJson(document);
 }
 
-/// A store with a configuration of so many teams in force.
+/// A configuration store with a document of the given number of teams in force.
 struct LoadedStore {
   EventLog log;
   ConfigStore store{log};
@@ -147,7 +150,7 @@
   explicit LoadedStore(size_t teams) {
     const std::string text = TeamsDocument(teams);
     const auto document = Catch([&] { return ParseConfigDocument(text); });
-    sharded = CutIntoShards(*document.value);
+    sharded = SplitIntoShards(*document.value);
     head.version = 1;
     head.preset = "ordinary";
     head.base = sharded.base.name;
@@ -157,7 +160,7 @@
     Load();
   }
   void Load() {
-    store.Offer(head);
+    store.OfferHead(head);
     store.AddShard(sharded.base.name, sharded.base.body);
     for (const ConfigShard& shard : sharded.teams) {
       store.AddShard(shard.name, shard.body);
@@ -195,12 +198,13 @@
   const double before = UserMicroseconds();
   for (int i = 0; i < kChanges; ++i) {
     ++loaded.head.version;
-    loaded.store.Offer(loaded.head);
+    loaded.store.OfferHead(loaded.head);
   }
   return (UserMicroseconds() - before) / kChanges;
 }
 
-/// Bytes that one changed team sends to one entry: the head and a shard.
+/// Returns the bytes that one changed team sends to one entry: the head and a
+/// shard.
 double ChangeBytes(size_t teams) {
   const LoadedStore loaded(teams);
   ConfigHead head = loaded.head;
@@ -225,15 +229,15 @@
   return reserve;
 }
 
-/// An agent with one entry linked.
-struct LoneAgent {
+/// An agent with a link to one entry.
+struct SingleAgent {
   VirtualClock clock;
   EventLog log;
   Metrics metrics;
   AgentNode node{
       {}, {.id = {"agent-1", 1}, .role = Role::kAgent}, clock, 1, log, metrics};
 
-  LoneAgent() {
+  SingleAgent() {
     node.Start("a:1");
     node.OnLinkUp(1, {.id = {"entry-1", 1}, .address = "e:1"}, "");
     node.outbox().Take();
@@ -241,8 +245,8 @@
 };
 
 double ReservationBytes(size_t count) {
-  LoneAgent agent;
-  const std::vector<RequestKey> keys = Keys(count);
+  SingleAgent agent;
+  const std::vector<RequestKey> keys = MakeKeys(count);
   const double before = HeapBytes();
   for (const RequestKey& key : keys) {
     agent.node.OnMessage(1, SampleReserve(key));
@@ -252,8 +256,8 @@
 }
 
 double ReservationTime(size_t count) {
-  LoneAgent agent;
-  const std::vector<RequestKey> keys = Keys(count);
+  SingleAgent agent;
+  const std::vector<RequestKey> keys = MakeKeys(count);
   const double before = UserMicroseconds();
   for (const RequestKey& key : keys) {
     agent.node.OnMessage(1, SampleReserve(key));
@@ -269,11 +273,11 @@
 
 double RememberedKeyBytes(size_t count) {
   RunTable table({});
-  const std::vector<RequestKey> keys = Keys(count);
+  const std::vector<RequestKey> keys = MakeKeys(count);
   const double before = HeapBytes();
   for (const RequestKey& key : keys) {
     Run& run = table.Add(key, TimePoint());
-    run.state = Run::State::kGone;
+    run.state = Run::State::kAnswerDropped;
     run.allowed = {.instance = "entry-govan-001", .incarnation = 1};
     run.reservation.team = "health-board-1";
     run.request_id = key.ToString() + ".1";
@@ -281,87 +285,102 @@
   return HeapBytes() - before;
 }
 
-enum class Fleet { kBytes, kMessages, kTime, kCalls };
+enum class FleetQuantity { kBytes, kMessages, kTime, kCalls };
 
-/// A fleet at rest for a minute of virtual time; per second and entry, or for
-/// the whole platform.
-double AtRest(size_t entries, size_t agents, Fleet what) {
-  World world({.entries = entries, .agents = agents});
+/// Returns a quantity of an idle fleet, per second over a minute of virtual
+/// time: the bytes or messages sent by the first entry, the platform calls of
+/// all processes, or the mean processor time of a process.
+double MeasureIdleFleet(size_t entries, size_t agents, FleetQuantity quantity) {
+  Simulation simulation({.entries = entries, .agents = agents});
   constexpr double kSeconds = 60;
-  const uint64_t bytes = world.bytes_sent(0);
-  const uint64_t messages = world.messages_sent(0);
-  const uint64_t calls = world.platform_calls();
+  const uint64_t bytes = simulation.bytes_sent(0);
+  const uint64_t messages = simulation.messages_sent(0);
+  const uint64_t calls = simulation.platform_calls();
   const double before = UserMicroseconds();
-  world.RunFor(std::chrono::seconds(static_cast<int>(kSeconds)));
-  switch (what) {
-    case Fleet::kBytes:
-      return static_cast<double>(world.bytes_sent(0) - bytes) / kSeconds;
-    case Fleet::kMessages:
-      return static_cast<double>(world.messages_sent(0) - messages) / kSeconds;
-    case Fleet::kCalls:
-      return static_cast<double>(world.platform_calls() - calls) / kSeconds;
-    case Fleet::kTime:
+  simulation.RunFor(std::chrono::seconds(static_cast<int>(kSeconds)));
+  switch (quantity) {
+    case FleetQuantity::kBytes:
+      return static_cast<double>(simulation.bytes_sent(0) - bytes) / kSeconds;
+    case FleetQuantity::kMessages:
+      return static_cast<double>(simulation.messages_sent(0) - messages) /
+             kSeconds;
+    case FleetQuantity::kCalls:
+      return static_cast<double>(simulation.platform_calls() - calls) /
+             kSeconds;
+    case FleetQuantity::kTime:
       return (UserMicroseconds() - before) / kSeconds /
              static_cast<double>(entries + agents);
   }
   return 0;
 }
 
-enum class Work { kEntryBytes, kAgentBytes, kMessages, kTime, kMemory };
+enum class RequestQuantity {
+  kEntryBytes,
+  kAgentBytes,
+  kMessages,
+  kTime,
+  kMemory
+};
 
-/// So many checks of ten tokens through one entry and two agents.
-double Requests(size_t count, Work what) {
-  World world({.entries = 1, .agents = 2});
-  world.RunFor(std::chrono::seconds(1));
-  const uint64_t entry_bytes = world.bytes_sent(0);
-  const uint64_t agent_bytes = world.bytes_sent(1) + world.bytes_sent(2);
-  const uint64_t messages =
-      world.messages_sent(0) + world.messages_sent(1) + world.messages_sent(2);
+/// Returns a quantity of `count` checks of ten tokens through one entry and two
+/// agents.
+double MeasureRequests(size_t count, RequestQuantity quantity) {
+  Simulation simulation({.entries = 1, .agents = 2});
+  simulation.RunFor(std::chrono::seconds(1));
+  const uint64_t entry_bytes = simulation.bytes_sent(0);
+  const uint64_t agent_bytes =
+      simulation.bytes_sent(1) + simulation.bytes_sent(2);
+  const uint64_t messages = simulation.messages_sent(0) +
+                            simulation.messages_sent(1) +
+                            simulation.messages_sent(2);
   const double before = UserMicroseconds();
   const double heap = HeapBytes();
   for (size_t i = 0; i < count; ++i) {
-    world.Submit(0, world.NewKey(), "r" + std::to_string(i) + "x", false, 10);
+    simulation.Submit(0, simulation.NewKey(), "r" + std::to_string(i) + "x",
+                      false, 10);
   }
-  if (what == Work::kMemory) {
-    world.RunFor(std::chrono::milliseconds(20));
+  if (quantity == RequestQuantity::kMemory) {
+    simulation.RunFor(std::chrono::milliseconds(20));
     return HeapBytes() - heap;
   }
-  world.RunUntil([&] { return world.oracle().open() == 0; },
-                 std::chrono::hours(1));
-  switch (what) {
-    case Work::kEntryBytes:
-      return static_cast<double>(world.bytes_sent(0) - entry_bytes);
-    case Work::kAgentBytes:
-      return static_cast<double>(world.bytes_sent(1) + world.bytes_sent(2) -
-                                 agent_bytes);
-    case Work::kMessages:
-      return static_cast<double>(world.messages_sent(0) +
-                                 world.messages_sent(1) +
-                                 world.messages_sent(2) - messages);
+  simulation.RunUntil([&] { return simulation.oracle().open_callers() == 0; },
+                      std::chrono::hours(1));
+  switch (quantity) {
+    case RequestQuantity::kEntryBytes:
+      return static_cast<double>(simulation.bytes_sent(0) - entry_bytes);
+    case RequestQuantity::kAgentBytes:
+      return static_cast<double>(simulation.bytes_sent(1) +
+                                 simulation.bytes_sent(2) - agent_bytes);
+    case RequestQuantity::kMessages:
+      return static_cast<double>(simulation.messages_sent(0) +
+                                 simulation.messages_sent(1) +
+                                 simulation.messages_sent(2) - messages);
     default:
       return UserMicroseconds() - before;
   }
 }
 
-double CallsPerStart(size_t starts, bool entry) {
-  World world({.entries = 3, .agents = 2});
+/// Returns the platform calls that `starts` restarts of an entry or an agent
+/// add.
+double RestartCalls(size_t starts, bool entry) {
+  Simulation simulation({.entries = 3, .agents = 2});
   const size_t process = entry ? 2 : 3;
   const auto calls_of = [&](size_t count) {
-    const uint64_t before = world.platform_calls();
+    const uint64_t before = simulation.platform_calls();
     for (size_t i = 0; i < 8; ++i) {
       if (i < count) {
-        world.Kill(process, false);
-        world.Restart(process);
+        simulation.Kill(process, false);
+        simulation.Restart(process);
       }
-      world.RunFor(std::chrono::seconds(3));
+      simulation.RunFor(std::chrono::seconds(3));
     }
-    return static_cast<double>(world.platform_calls() - before);
+    return static_cast<double>(simulation.platform_calls() - before);
   };
-  const double quiet = calls_of(0);
-  return calls_of(starts) - quiet;
+  const double calls_without_starts = calls_of(0);
+  return calls_of(starts) - calls_without_starts;
 }
 
-json::object ToJson(const Slope& line) {
+json::object ToJson(const FittedLine& line) {
   return {{"name", line.name},
           {"per", line.per},
           {"unit", line.unit},
@@ -372,52 +391,67 @@
           {"residual", line.residual}};
 }
 
-std::vector<Slope> MeasureAll() {
-  const std::vector<size_t> many = {5'000, 10'000, 20'000, 40'000};
+std::vector<FittedLine> MeasureAll() {
+  const std::vector<size_t> counts = {5'000, 10'000, 20'000, 40'000};
   const std::vector<size_t> teams = {1'250, 2'500, 5'000, 10'000};
-  const std::vector<size_t> few = {2, 4, 8, 16};
+  const std::vector<size_t> fleet_sizes = {2, 4, 8, 16};
   const std::vector<size_t> requests = {50, 100, 200, 400};
   const std::vector<size_t> starts = {1, 2, 4, 8};
-  std::vector<Slope> lines;
-  const auto add = [&lines](Slope line) { lines.push_back(std::move(line)); };
-  add(MeasureLine("claim_memory", "claim", "B", many, ClaimBytes));
-  add(MeasureLine("claim_time", "claim", "us", many, ClaimTime));
+  std::vector<FittedLine> lines;
+  const auto add = [&lines](FittedLine line) {
+    lines.push_back(std::move(line));
+  };
+  add(MeasureLine("claim_memory", "claim", "B", counts, ClaimBytes));
+  add(MeasureLine("claim_time", "claim", "us", counts, ClaimTime));
   add(MeasureLine("claim_wire_bytes", "claim", "B", {50, 100, 200, 400},
                   ClaimWireBytes));
   add(MeasureLine("team_memory", "team", "B", teams, TeamBytes));
   add(MeasureLine("team_lookup_time", "team", "us", teams, TeamLookupTime));
   add(MeasureLine("config_change_time", "team", "us", teams, ChangeTime));
   add(MeasureLine("config_change_bytes", "team", "B", teams, ChangeBytes));
-  add(MeasureLine("reservation_memory", "reservation", "B", many,
+  add(MeasureLine("reservation_memory", "reservation", "B", counts,
                   ReservationBytes));
-  add(MeasureLine("reservation_time", "reservation", "us", many,
+  add(MeasureLine("reservation_time", "reservation", "us", counts,
                   ReservationTime));
-  add(MeasureLine("remembered_key_memory", "key", "B", many,
+  add(MeasureLine("remembered_key_memory", "key", "B", counts,
                   RememberedKeyBytes));
-  add(MeasureLine("entry_link_bytes", "entry", "B/s", few,
-                  [](size_t n) { return AtRest(n, 1, Fleet::kBytes); }));
-  add(MeasureLine("agent_link_bytes", "agent", "B/s", few,
-                  [](size_t n) { return AtRest(1, n, Fleet::kBytes); }));
-  add(MeasureLine("agent_link_messages", "agent", "1/s", few,
-                  [](size_t n) { return AtRest(1, n, Fleet::kMessages); }));
-  add(MeasureLine("platform_calls_at_rest", "entry", "1/s", few,
-                  [](size_t n) { return AtRest(n, 1, Fleet::kCalls); }));
-  add(MeasureLine("entry_rest_time", "entry", "us/s", few,
-                  [](size_t n) { return AtRest(n, 2, Fleet::kTime); }));
+  add(MeasureLine(
+      "entry_link_bytes", "entry", "B/s", fleet_sizes,
+      [](size_t n) { return MeasureIdleFleet(n, 1, FleetQuantity::kBytes); }));
+  add(MeasureLine(
+      "agent_link_bytes", "agent", "B/s", fleet_sizes,
+      [](size_t n) { return MeasureIdleFleet(1, n, FleetQuantity::kBytes); }));
+  add(MeasureLine("agent_link_messages", "agent", "1/s", fleet_sizes,
+                  [](size_t n) {
+                    return MeasureIdleFleet(1, n, FleetQuantity::kMessages);
+                  }));
+  add(MeasureLine(
+      "platform_calls_at_rest", "entry", "1/s", fleet_sizes,
+      [](size_t n) { return MeasureIdleFleet(n, 1, FleetQuantity::kCalls); }));
+  add(MeasureLine(
+      "entry_rest_time", "entry", "us/s", fleet_sizes,
+      [](size_t n) { return MeasureIdleFleet(n, 2, FleetQuantity::kTime); }));
   add(MeasureLine("request_entry_bytes", "request", "B", requests,
-                  [](size_t n) { return Requests(n, Work::kEntryBytes); }));
+                  [](size_t n) {
+                    return MeasureRequests(n, RequestQuantity::kEntryBytes);
+                  }));
   add(MeasureLine("request_agent_bytes", "request", "B", requests,
-                  [](size_t n) { return Requests(n, Work::kAgentBytes); }));
-  add(MeasureLine("request_messages", "request", "1", requests,
-                  [](size_t n) { return Requests(n, Work::kMessages); }));
-  add(MeasureLine("request_time", "request", "us", requests,
-                  [](size_t n) { return Requests(n, Work::kTime); }));
-  add(MeasureLine("waiting_memory", "request", "B", requests,
-                  [](size_t n) { return Requests(n, Work::kMemory); }));
+                  [](size_t n) {
+                    return MeasureRequests(n, RequestQuantity::kAgentBytes);
+                  }));
+  add(MeasureLine("request_messages", "request", "1", requests, [](size_t n) {
+    return MeasureRequests(n, RequestQuantity::kMessages);
+  }));
+  add(MeasureLine("request_time", "request", "us", requests, [](size_t n) {
+    return MeasureRequests(n, RequestQuantity::kTime);
+  }));
+  add(MeasureLine("waiting_memory", "request", "B", requests, [](size_t n) {
+    return MeasureRequests(n, RequestQuantity::kMemory);
+  }));
   add(MeasureLine("entry_start_calls", "start", "1", starts,
-                  [](size_t n) { return CallsPerStart(n, true); }));
+                  [](size_t n) { return RestartCalls(n, true); }));
   add(MeasureLine("agent_start_calls", "start", "1", starts,
-                  [](size_t n) { return CallsPerStart(n, false); }));
+                  [](size_t n) { return RestartCalls(n, false); }));
   return lines;
 }
 
--- a/lavenderkeel/admission/in_flight_limit.h
+++ b/lavenderkeel/admission/in_flight_limit.h
@@ -8,34 +8,36 @@
 
 namespace lavenderkeel {
 
-/// How many requests run at a backend server at once, adapted to its speed.
+/// An adaptive limit (AIMD) for the requests in flight at a backend server.
 ///
-/// Additive increase while the time between tokens is inside the target and
-/// the limit is in use; multiplicative decrease when it is not. Engines admit
-/// whatever they are sent, and each admitted request slows all others down.
+/// Increases additively while the time between tokens is within the target and
+/// the limit is reached; decreases multiplicatively while that time exceeds the
+/// target. The limit is needed because engines admit every request, and each
+/// one slows down all others.
 class InFlightLimit {
  public:
   struct Options {
-    uint32_t least = 1;
-    uint32_t first = 8;
-    uint32_t most = 64;
+    uint32_t min = 1;
+    uint32_t initial = 8;
+    uint32_t max = 64;
     Duration between_tokens = std::chrono::milliseconds(49);
     Duration period = std::chrono::milliseconds(500);
   };
 
   InFlightLimit() = default;
   explicit InFlightLimit(Options options)
-      : options_(options), limit_(options.first) {}
+      : options_(options), limit_(options.initial) {}
 
   uint32_t limit() const { return limit_; }
 
-  /// @param gap between two tokens of one request
+  /// Records a time between two tokens of one request.
   void Observe(Duration gap) {
     sum_ += gap;
     ++samples_;
   }
 
-  /// @param running how many requests run now
+  /// Adapts the limit once per period.
+  /// @param running number of requests running now
   void Tick(TimePoint now, uint32_t running) {
     if (now < next_) {
       return;
@@ -48,15 +50,15 @@
     sum_ = Duration::zero();
     samples_ = 0;
     if (mean > options_.between_tokens) {
-      limit_ = std::max(options_.least, limit_ * 9 / 10);
+      limit_ = std::max(options_.min, limit_ * 9 / 10);
     } else if (running >= limit_) {
-      limit_ = std::min(options_.most, limit_ + 1);
+      limit_ = std::min(options_.max, limit_ + 1);
     }
   }
 
  private:
   Options options_;
-  uint32_t limit_ = Options().first;
+  uint32_t limit_ = Options().initial;
   Duration sum_ = Duration::zero();
   int64_t samples_ = 0;
   TimePoint next_;
--- a/lavenderkeel/claim/claim.h
+++ b/lavenderkeel/claim/claim.h
@@ -10,47 +10,51 @@
 
 namespace lavenderkeel {
 
-/// What the platform has to do with a claim. The values are on the wire.
-enum class ClaimStanding : uint8_t {
-  /// Nothing, or it gave the key to the owner.
+/// State of the platform's decision on a claim. The values are on the wire.
+enum class ClaimStatus : uint8_t {
+  /// The platform is not involved, or granted the key to the owner.
   kPlain = 0,
-  /// It has still to decide.
+  /// The decision of the platform is pending.
   kTentative = 1,
-  /// It did not give the key to the owner.
+  /// The platform did not grant the key to the owner.
   kRefused = 2,
 };
 
-/// Reads the value of a message; what is not known is not confirmed.
-inline ClaimStanding ToClaimStanding(uint8_t value) {
-  return static_cast<ClaimStanding>(
-      std::min(value, static_cast<uint8_t>(ClaimStanding::kRefused)));
+/// Converts a value from a message; unknown values become kRefused, so that the
+/// claim does not count as confirmed.
+inline ClaimStatus ToClaimStatus(uint8_t value) {
+  return static_cast<ClaimStatus>(
+      std::min(value, static_cast<uint8_t>(ClaimStatus::kRefused)));
 }
 
-/// A request key given to one entry incarnation. The key belongs to its team by
-/// itself, see CallerApi.
+/// Assignment of a request key to one entry incarnation. Keys are already
+/// specific to a team, see CallerApi.
 struct Claim {
   PeerId owner;
-  /// Of the request as sent; the same key with another body is refused.
+  /// Hash of the body as sent; a request with the same key and another body is
+  /// refused.
   uint64_t body_hash = 0;
-  /// The agents that the owner may send the request to; after its death they
-  /// are asked whether they have it.
+  /// The agents that the owner may send the request to. After the loss of the
+  /// owner, the entry that takes the claim over asks them whether they have the
+  /// request.
   std::vector<PeerId> agents;
-  /// The holder could vouch that it was the first. Otherwise an earlier claim
-  /// may exist elsewhere, and "no agent of this one has it" proves nothing.
+  /// This is certainly the first claim: a holder vouched for the key, or the
+  /// platform granted it. Otherwise an earlier claim may exist elsewhere, and
+  /// the request may have run even if no agent of this claim has it.
   bool confirmed = false;
-  ClaimStanding standing = ClaimStanding::kPlain;
+  ClaimStatus status = ClaimStatus::kPlain;
 
   friend bool operator==(const Claim&, const Claim&) = default;
 };
 
 /// Copies a claim into a ClaimRequest or ClaimReply.
 template <typename ClaimMessage>
-void PutClaim(const Claim& claim, ClaimMessage& message) {
+void WriteClaim(const Claim& claim, ClaimMessage& message) {
   message.owner_instance = claim.owner.instance;
   message.owner_incarnation = claim.owner.incarnation;
   message.body_hash = claim.body_hash;
   message.confirmed = claim.confirmed;
-  message.standing = static_cast<uint8_t>(claim.standing);
+  message.standing = static_cast<uint8_t>(claim.status);
   for (const PeerId& agent : claim.agents) {
     message.agents.push_back(agent.instance);
     message.agent_incarnations.push_back(agent.incarnation);
@@ -59,13 +63,13 @@
 
 /// Reads the claim of a ClaimRequest or ClaimReply.
 template <typename ClaimMessage>
-Claim TakeClaim(const ClaimMessage& message) {
+Claim ReadClaim(const ClaimMessage& message) {
   Claim claim{.owner = {.instance = message.owner_instance,
                         .incarnation = message.owner_incarnation},
               .body_hash = message.body_hash,
               .agents = {},
               .confirmed = message.confirmed,
-              .standing = ToClaimStanding(message.standing)};
+              .status = ToClaimStatus(message.standing)};
   const size_t agents =
       std::min(message.agents.size(), message.agent_incarnations.size());
   for (size_t i = 0; i < agents; ++i) {
--- a/lavenderkeel/config/config_spread.cc
+++ b/lavenderkeel/config/config_distributor.cc
@@ -1,4 +1,4 @@
-#include "lavenderkeel/config/config_spread.h"
+#include "lavenderkeel/config/config_distributor.h"
 
 #include <algorithm>
 #include <utility>
@@ -10,18 +10,18 @@
 namespace {
 
 constexpr int kNotModifiedStatus = 304;
-/// Shards are sent on once a message holds this much.
-constexpr size_t kShardsPerMessageBytes = size_t{1} << 19;
+/// A message with shards is sent once it holds this much.
+constexpr size_t kShardMessageFlushBytes = size_t{1} << 19;
 
 }  // namespace
 
-ConfigSpread::ConfigSpread(Options options,
-                           ConfigStore& store,
-                           const MemberTable& members,
-                           const Clock& clock,
-                           std::mt19937_64& random,
-                           PlatformPort& port,
-                           Outbox& outbox)
+ConfigDistributor::ConfigDistributor(Options options,
+                                     ConfigStore& store,
+                                     const MemberTable& members,
+                                     const Clock& clock,
+                                     std::mt19937_64& random,
+                                     PlatformPort& port,
+                                     Outbox& outbox)
     : options_(options),
       store_(store),
       members_(members),
@@ -30,26 +30,27 @@
       port_(port),
       outbox_(outbox) {}
 
-void ConfigSpread::Start() {
+void ConfigDistributor::Start() {
   ReadPlatform();
 }
 
-void ConfigSpread::Tick() {
+void ConfigDistributor::Tick() {
   const TimePoint now = clock_.Now();
   if (!reading_ && now >= next_read_) {
     ReadPlatform();
   }
   if (fetch_deadline_.has_value() && now >= *fetch_deadline_) {
     source_.reset();
-    FetchMissing();
+    FetchMissingShards();
   }
 }
 
-bool ConfigSpread::IsWatcher() const {
+bool ConfigDistributor::IsWatcher() const {
   std::vector<std::string> candidates = {members_.self().id.instance};
   for (const Member* member : members_.Members(Role::kEntry)) {
-    const bool near = member->info.data_centre == members_.self().data_centre;
-    if (near && member->live() && !member->info.leaving) {
+    const bool is_near =
+        member->info.data_centre == members_.self().data_centre;
+    if (is_near && member->live() && !member->info.leaving) {
       candidates.push_back(member->info.id.instance);
     }
   }
@@ -59,7 +60,7 @@
          watchers.end();
 }
 
-void ConfigSpread::ReadPlatform() {
+void ConfigDistributor::ReadPlatform() {
   reading_ = true;
   PlatformCall call = ReadObject(kHeadObject);
   if (!head_etag_.empty() && IsWatcher()) {
@@ -71,13 +72,13 @@
              [this](const PlatformReply& reply) { OnPlatformHead(reply); });
 }
 
-void ConfigSpread::OnPlatformHead(const PlatformReply& reply) {
+void ConfigDistributor::OnPlatformHead(const PlatformReply& reply) {
   reading_ = false;
   const bool answered = reply.ok() || reply.status == kNotModifiedStatus;
   const bool watch_again = answered && IsWatcher();
   const Duration period =
       answered ? options_.poll_period : options_.retry_period;
-  // Jitter, so that the end of an outage is no stampede of a whole fleet.
+  // Jitter spreads the reads of the whole fleet at the end of an outage.
   std::uniform_int_distribution<int64_t> jitter(0, period.count() / 2);
   const Duration wait =
       watch_again ? Duration::zero() : period + Duration(jitter(random_));
@@ -92,25 +93,25 @@
   }
 }
 
-void ConfigSpread::OnHead(LinkId link, const ConfigHeadNotice& notice) {
+void ConfigDistributor::OnHead(LinkId link, const ConfigHeadNotice& notice) {
   const auto head = Catch([&] { return ConfigHead::FromJson(notice.head); });
   if (head) {
     OfferFrom(link, *head.value);
   }
 }
 
-void ConfigSpread::OfferFrom(std::optional<LinkId> link,
-                             const ConfigHead& head) {
-  if (!store_.Offer(head)) {
+void ConfigDistributor::OfferFrom(std::optional<LinkId> link,
+                                  const ConfigHead& head) {
+  if (!store_.OfferHead(head)) {
     return;
   }
   source_ = link;
   fetching_.clear();
-  FetchMissing();
+  FetchMissingShards();
 }
 
-void ConfigSpread::FetchMissing() {
-  const std::vector<std::string> missing = store_.Missing();
+void ConfigDistributor::FetchMissingShards() {
+  const std::vector<std::string> missing = store_.MissingShards();
   fetch_deadline_.reset();
   if (missing.empty()) {
     return;
@@ -125,8 +126,8 @@
   outbox_.Send(*source_, std::move(pull));
 }
 
-void ConfigSpread::FetchFromPlatform() {
-  for (const std::string& name : store_.Missing()) {
+void ConfigDistributor::FetchFromPlatform() {
+  for (const std::string& name : store_.MissingShards()) {
     if (!fetching_.insert(name).second) {
       continue;
     }
@@ -140,7 +141,7 @@
   }
 }
 
-void ConfigSpread::OnPull(LinkId link, const ConfigPull& pull) {
+void ConfigDistributor::OnPull(LinkId link, const ConfigPull& pull) {
   if (!store_.current()) {
     return;
   }
@@ -161,7 +162,7 @@
     reply.names.push_back(name);
     reply.bodies.push_back(*body);
     bytes += body->size();
-    if (bytes >= kShardsPerMessageBytes) {
+    if (bytes >= kShardMessageFlushBytes) {
       outbox_.Send(link, std::exchange(reply, {}));
       bytes = 0;
     }
@@ -171,17 +172,17 @@
   }
 }
 
-void ConfigSpread::OnShards(const ConfigShards& shards) {
+void ConfigDistributor::OnShards(const ConfigShards& shards) {
   const size_t count = std::min(shards.names.size(), shards.bodies.size());
   for (size_t i = 0; i < count; ++i) {
     store_.AddShard(shards.names[i], shards.bodies[i]);
   }
-  if (store_.Missing().empty()) {
+  if (store_.MissingShards().empty()) {
     fetch_deadline_.reset();
   }
 }
 
-void ConfigSpread::OnPeerVersion(LinkId link, uint64_t version) {
+void ConfigDistributor::OnPeerVersion(LinkId link, uint64_t version) {
   const bool behind = version > store_.version();
   if (!behind || clock_.Now() < next_pull_) {
     return;
@@ -190,7 +191,7 @@
   outbox_.Send(link, ConfigPull());
 }
 
-void ConfigSpread::PushHead(const ConfigHead& head) {
+void ConfigDistributor::PushHead(const ConfigHead& head) {
   ConfigHeadNotice notice;
   notice.version = head.version;
   notice.head = head.ToJson();
--- a/lavenderkeel/crash/crash_wire.h
+++ b/lavenderkeel/crash/crash_wire.h
@@ -9,15 +9,15 @@
 
 namespace lavenderkeel {
 
-/// Reports as they cross between entries, whose clocks differ: times become
-/// ages and back.
+/// Encodes reports for other entries. Their clocks differ, so times become
+/// ages.
 ///
-/// @param complete all that this entry knows
+/// @param complete whether these are all reports of this entry
 CrashNews ToWire(const std::vector<CrashReport>& reports,
                  bool complete,
                  TimePoint now);
-/// Reports of a kind that is not known here are left out.
-std::vector<CrashReport> FromWire(const CrashNews& news, TimePoint now);
+/// Decodes the reports of another entry; skips reports of an unknown kind.
+std::vector<CrashReport> FromWire(const CrashNews& message, TimePoint now);
 
 }  // namespace lavenderkeel
 
--- a/lavenderkeel/forward/internal/forward_wire.h
+++ b/lavenderkeel/forward/internal/forward_wire.h
@@ -10,24 +10,24 @@
 #include "lavenderkeel/forward/slot_router.h"
 #include "lavenderkeel/wire.h"
 
-// Between what entries tell each other about forwarding and its form on the
-// wire. Clocks differ between machines, so times cross as the time that is
-// left.
+// Conversions between the forwarding types and the messages that entries
+// exchange. Clocks differ between machines, so a point in time is sent as the
+// time left until it.
 namespace lavenderkeel::internal {
 
 ForwardStatus ToWire(const ForwardReport& report,
-                     const std::vector<GateReport>& gates);
+                     const std::vector<SlotGroupReport>& group_reports);
 ForwardReport FromWire(const ForwardStatus& status);
-std::vector<GateReport> GatesFromWire(const ForwardStatus& status);
-/// What teams drew at the entries that the sender passes on.
-void PutRelayed(const DrawTotals& relayed, ForwardStatus& status);
-DrawTotals RelayedFromWire(const ForwardStatus& status);
+std::vector<SlotGroupReport> GroupReportsFromWire(const ForwardStatus& status);
+/// Adds the rate usage that the sender relays for other entries.
+void PutRelayed(const UsageTotals& relayed, ForwardStatus& status);
+UsageTotals RelayedFromWire(const ForwardStatus& status);
 
 ServerFeed ToWire(const ObjectDelta& delta);
 ObjectDelta FromWire(const ServerFeed& feed);
 
-WantSlot ToWire(const SlotAsk& ask, TimePoint now);
-SlotAsk FromWire(const WantSlot& want, TimePoint now);
+WantSlot ToWire(const SlotRequest& slot_request, TimePoint now);
+SlotRequest FromWire(const WantSlot& want, TimePoint now);
 
 HaveSlot ToWire(const SlotGrant& grant);
 SlotGrant FromWire(const HaveSlot& have);
--- a/lavenderkeel/forward/route_table.cc
+++ b/lavenderkeel/forward/route_table.cc
@@ -12,7 +12,7 @@
 namespace {
 
 std::string LowerCaseHost(std::string_view host) {
-  // An IPv6 literal keeps its colons; only what follows the bracket is a port.
+  // A colon inside the brackets of an IPv6 literal does not start a port.
   const size_t bracket = host.rfind(']');
   const size_t colon = host.rfind(':');
   const bool has_port = colon != std::string_view::npos &&
@@ -43,7 +43,7 @@
   for (const Service& service : content_.services) {
     services_[service.name] = &service;
   }
-  for (const TeamTerms& team : content_.teams) {
+  for (const TeamConfig& team : content_.teams) {
     teams_[team.name] = &team;
     for (const std::string& key : team.api_keys) {
       by_key_[key] = &team;
@@ -65,12 +65,12 @@
   return found == routes->second.end() ? nullptr : *found;
 }
 
-const TeamTerms* RouteTable::FindTeamByKey(const std::string& api_key) const {
+const TeamConfig* RouteTable::FindTeamByKey(const std::string& api_key) const {
   const auto found = by_key_.find(api_key);
   return found == by_key_.end() ? nullptr : found->second;
 }
 
-const TeamTerms* RouteTable::FindTeam(const std::string& name) const {
+const TeamConfig* RouteTable::FindTeam(const std::string& name) const {
   const auto found = teams_.find(name);
   return found == teams_.end() ? nullptr : found->second;
 }
--- a/lavenderkeel/forward/size_estimate.h
+++ b/lavenderkeel/forward/size_estimate.h
@@ -5,57 +5,63 @@
 #include <cstdint>
 
 #include "lavenderkeel/forward/moving_mean.h"
-#include "lavenderkeel/forward/request_terms.h"
+#include "lavenderkeel/forward/request_metadata.h"
 #include "lavenderkeel/forward/work_size.h"
 
 namespace lavenderkeel {
 
-/// Learns, for one route, how many events its answers have.
+/// Estimate of the number of events per answer of one route.
 ///
-/// Clients say how many output tokens they expect; how many of these make an
-/// event is the servers' affair. Both are learned from whole answers.
+/// Clients state the expected output tokens; how many tokens make an event
+/// depends on the servers. The mean number of events and the events per token
+/// are estimated from complete answers.
 class SizeEstimate {
  public:
-  /// A whole answer had that many events.
-  void OnAnswer(const RequestTerms& terms, int events) {
+  /// Records a complete answer with the given number of events.
+  void OnAnswer(const RequestMetadata& metadata, int events) {
     events_.Add(events);
-    if (terms.expected_output_tokens > 0) {
-      told_events_.Add(events);
-      told_tokens_.Add(static_cast<double>(terms.expected_output_tokens));
+    if (metadata.expected_output_tokens > 0) {
+      hinted_events_.Add(events);
+      hinted_tokens_.Add(static_cast<double>(metadata.expected_output_tokens));
     }
   }
 
-  /// Its answer will be much longer than the usual of the route.
-  bool IsLong(const RequestTerms& terms) const {
-    return !events_.empty() && Events(terms) > kLongPerMean * events_.mean();
+  /// Returns whether the answer is expected to be much longer than the route's
+  /// average.
+  bool IsLong(const RequestMetadata& metadata) const {
+    return !events_.empty() &&
+           EstimateEvents(metadata) > kLongEventsPerMean * events_.mean();
   }
 
-  WorkSize Of(const RequestTerms& terms) const {
-    return {.prompt_tokens = static_cast<uint32_t>(terms.prompt_tokens),
-            .events = static_cast<uint32_t>(std::lround(Events(terms)))};
+  WorkSize EstimateFor(const RequestMetadata& metadata) const {
+    return {
+        .prompt_tokens = static_cast<uint32_t>(metadata.prompt_tokens),
+        .events = static_cast<uint32_t>(std::lround(EstimateEvents(metadata)))};
   }
 
  private:
-  double Events(const RequestTerms& terms) const {
-    if (terms.expected_output_tokens == 0 || told_tokens_.mean() <= 0) {
+  double EstimateEvents(const RequestMetadata& metadata) const {
+    if (metadata.expected_output_tokens == 0 || hinted_tokens_.mean() <= 0) {
       return events_.mean();
     }
-    const double events_per_token = told_events_.mean() / told_tokens_.mean();
-    return static_cast<double>(terms.expected_output_tokens) * events_per_token;
+    const double events_per_token =
+        hinted_events_.mean() / hinted_tokens_.mean();
+    return static_cast<double>(metadata.expected_output_tokens) *
+           events_per_token;
   }
 
-  /// Where lengths spread by a factor of 4.5 about their middle, one request in
-  /// fifteen is so long, and these few have half of all events.
-  static constexpr double kLongPerMean = 3;
+  /// Where lengths spread by a factor of 4.5 around their median, one request
+  /// in fifteen is this long, and these few have half of all events.
+  static constexpr double kLongEventsPerMean = 3;
 
-  /// Lengths differ hundredfold within a route, so the mean takes some fifty
+  /// Lengths differ hundredfold within a route, so the mean covers some fifty
   /// answers; at ten a second it follows a change within seconds.
-  static constexpr double kSamplePart = 0.02;
+  static constexpr double kSampleWeight = 0.02;
 
-  MovingMean events_{kSamplePart};
-  /// Of answers whose clients said what they expect.
-  MovingMean told_events_{kSamplePart};
-  MovingMean told_tokens_{kSamplePart};
+  MovingMean events_{kSampleWeight};
+  /// From answers whose clients stated the expected output tokens.
+  MovingMean hinted_events_{kSampleWeight};
+  MovingMean hinted_tokens_{kSampleWeight};
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/forward/suspect_runs.h
+++ b/lavenderkeel/forward/suspect_runs.h
@@ -4,51 +4,53 @@
 #include <cstdint>
 #include <unordered_map>
 
-#include "lavenderkeel/crash/crash_standing.h"
+#include "lavenderkeel/crash/crash_suspicion.h"
 
 namespace lavenderkeel {
 
-/// Requests at servers under which servers were lost before.
+/// Running requests under which servers were lost before, by server.
 ///
-/// Failure: a harmless request is sent on after its server was lost and meets
-/// the one that ended it again. Symptom: after some such meetings it is blocked
-/// like the other. Of two requests that run apart only one loses its server.
+/// A harmless request that is retried after the loss of its server may run
+/// beside the request that caused the loss again. After some such losses the
+/// harmless request is blocked too. If the two run at different servers, only
+/// the other one loses its server.
 class SuspectRuns {
  public:
-  void Add(uint64_t server, CrashStanding standing) {
-    if (standing == CrashStanding::kClear) {
+  void Add(uint64_t server, CrashSuspicion suspicion) {
+    if (suspicion == CrashSuspicion::kClear) {
       return;
     }
     Count& count = servers_[server];
     ++count.all;
-    count.doubtful += standing >= CrashStanding::kDoubtful ? 1 : 0;
+    count.doubtful += suspicion >= CrashSuspicion::kDoubtful ? 1 : 0;
   }
 
-  /// The reverse of Add.
-  void Remove(uint64_t server, CrashStanding standing) {
+  /// Reverts Add.
+  void Remove(uint64_t server, CrashSuspicion suspicion) {
     const auto found = servers_.find(server);
-    if (standing == CrashStanding::kClear || found == servers_.end()) {
+    if (suspicion == CrashSuspicion::kClear || found == servers_.end()) {
       return;
     }
-    found->second.doubtful -= standing >= CrashStanding::kDoubtful ? 1 : 0;
+    found->second.doubtful -= suspicion >= CrashSuspicion::kDoubtful ? 1 : 0;
     if (--found->second.all <= 0) {
       servers_.erase(found);
     }
   }
 
-  /// A request of that standing may run at the server beside what is there.
-  bool Admits(uint64_t server, CrashStanding standing) const {
-    const Count count = At(server);
-    return standing >= CrashStanding::kDoubtful  ? count.all == 0
-           : standing == CrashStanding::kSuspect ? count.doubtful == 0
-                                                 : true;
+  /// Returns whether a request of the given suspicion may run at the server
+  /// beside the requests there.
+  bool Admits(uint64_t server, CrashSuspicion suspicion) const {
+    const Count count = CountAt(server);
+    return suspicion >= CrashSuspicion::kDoubtful  ? count.all == 0
+           : suspicion == CrashSuspicion::kSuspect ? count.doubtful == 0
+                                                   : true;
   }
 
-  /// A request does better elsewhere.
-  bool Endangers(uint64_t server, CrashStanding standing) const {
-    const Count count = At(server);
-    return standing == CrashStanding::kClear ? count.doubtful > 0
-                                             : count.all > 0;
+  /// Returns whether the request should prefer another server.
+  bool ShouldAvoid(uint64_t server, CrashSuspicion suspicion) const {
+    const Count count = CountAt(server);
+    return suspicion == CrashSuspicion::kClear ? count.doubtful > 0
+                                               : count.all > 0;
   }
 
   bool empty() const { return servers_.empty(); }
@@ -59,7 +61,7 @@
     int doubtful = 0;
   };
 
-  Count At(uint64_t server) const {
+  Count CountAt(uint64_t server) const {
     const auto found = servers_.find(server);
     return found == servers_.end() ? Count() : found->second;
   }
--- a/lavenderkeel/gate/agent_node.cc
+++ b/lavenderkeel/gate/agent_node.cc
@@ -40,14 +40,14 @@
       fence_update_(
           {.object = "lavenderkeel/servers/" + members_.self().id.instance,
            .next =
-               [this](const std::optional<std::string>& present) {
-                 return NextFence(present);
+               [this](const std::optional<std::string>& current) {
+                 return NextFence(current);
                },
            .done = nullptr},
           clock,
           random_,
           platform_),
-      gap_(options_.members.heartbeat_timeout) {
+      freeze_detector_(options_.members.heartbeat_timeout) {
   gate_.signal_unreachable().connect([this] { members_.AnnounceNow(); });
   members_.signal_link_dropped().connect(
       [this](LinkId link) { gate_.OnLinkDown(link); });
@@ -63,12 +63,12 @@
 }
 
 std::optional<std::string> AgentNode::NextFence(
-    const std::optional<std::string>& present) {
+    const std::optional<std::string>& current) {
   uint64_t fence = 0;
   uint64_t incarnation = 0;
-  if (present.has_value()) {
+  if (current.has_value()) {
     boost::system::error_code error;
-    const json::value value = json::parse(*present, error);
+    const json::value value = json::parse(*current, error);
     if (!error && value.is_object()) {
       const json::object& object = value.get_object();
       const json::value* old_fence = object.if_contains("fence");
@@ -87,15 +87,15 @@
       json::object{{"fence", fence + 1}, {"incarnation", own}});
 }
 
-void AgentNode::CheckGap() {
-  if (gap_.Check(clock_.Now())) {
+void AgentNode::CheckForFreeze() {
+  if (freeze_detector_.Check(clock_.Now())) {
     log_.Warn("gap_noticed", {{"instance", members_.self().id.instance}});
-    members_.ForgiveSilence();
+    members_.ResetSilenceTimers();
   }
 }
 
 void AgentNode::Tick() {
-  CheckGap();
+  CheckForFreeze();
   members_.Tick();
   registration_.Tick();
   fence_update_.Tick();
@@ -105,12 +105,12 @@
 bool AgentNode::OnLinkUp(LinkId link,
                          const InstanceInfo& peer,
                          const std::string& dialed) {
-  CheckGap();
+  CheckForFreeze();
   return members_.OnLinkUp(link, peer, dialed);
 }
 
 void AgentNode::OnLinkDown(LinkId link) {
-  CheckGap();
+  CheckForFreeze();
   members_.OnLinkDown(link);
 }
 
@@ -119,13 +119,14 @@
 }
 
 void AgentNode::OnMessage(LinkId link, Message message) {
-  CheckGap();
+  CheckForFreeze();
   const Member* peer = members_.FindByLink(link);
   if (peer == nullptr) {
-    // A replaced link of the peer: what still comes on it is of the past.
+    // The link was replaced by a newer one to the same peer; messages on it are
+    // stale.
     return;
   }
-  members_.OnHeard(link);
+  members_.OnMessageReceived(link);
   std::visit(
       [this, link](auto& body) {
         using T = std::decay_t<decltype(body)>;
@@ -170,9 +171,10 @@
 }
 
 bool AgentNode::CanExit() const {
-  // The notice has to reach the entries before the sockets close.
-  constexpr auto kNoticeTime = std::chrono::milliseconds(100);
-  return leaving_ && gate_.Idle() && clock_.Now() - left_at_ > kNoticeTime;
+  // Leaves time for the leave notice to reach the entries before the sockets
+  // close.
+  constexpr auto kLeaveNoticeTime = std::chrono::milliseconds(100);
+  return leaving_ && gate_.Idle() && clock_.Now() - left_at_ > kLeaveNoticeTime;
 }
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/gate/agent_node.h
+++ b/lavenderkeel/gate/agent_node.h
@@ -13,10 +13,9 @@
 
 namespace lavenderkeel {
 
-/// Everything that an agent process decides, without its sockets.
+/// The decision logic of an agent process, without sockets.
 ///
-/// Whoever drives it hands in events and carries out the actions that it then
-/// finds in the outbox.
+/// The driver passes in events and then executes the actions in the outbox.
 class AgentNode {
  public:
   struct Options {
@@ -24,7 +23,7 @@
     GateController::Options gate;
     Registration::Options registration = {.read_list = false};
     std::vector<std::string> seeds;
-    /// What the backend server offers: "engine" or "service/NAME".
+    /// What the backend server serves: "engine" or "service/NAME".
     std::string serves = "engine";
   };
 
@@ -39,7 +38,7 @@
   GateController& gate() { return gate_; }
   MemberTable& members() { return members_; }
 
-  /// @param address the peer address really bound
+  /// @param address the peer address actually bound
   void Start(const std::string& address);
   void Tick();
   bool OnLinkUp(LinkId link,
@@ -50,19 +49,19 @@
   void OnMessage(LinkId link, Message message);
   void OnPlatformReply(PlatformCallId call, const PlatformReply& reply);
 
-  /// Begins the graceful shutdown.
+  /// Starts the graceful shutdown.
   void Leave();
-  /// True once nothing would be cut by the end of the process.
+  /// Returns true once the process can end without truncating an answer.
   bool CanExit() const;
 
-  /// The fencing number of this incarnation; 0 while the platform has not
-  /// given one.
+  /// Returns the fencing number of this incarnation; 0 until the platform has
+  /// assigned one.
   uint64_t fence() const { return fence_; }
 
  private:
-  void CheckGap();
+  void CheckForFreeze();
   std::optional<std::string> NextFence(
-      const std::optional<std::string>& present);
+      const std::optional<std::string>& current);
 
   Options options_;
   const Clock& clock_;
@@ -74,7 +73,7 @@
   GateController gate_;
   Registration registration_;
   ConditionalUpdate fence_update_;
-  GapDetector gap_;
+  FreezeDetector freeze_detector_;
   uint64_t fence_ = 0;
   bool leaving_ = false;
   TimePoint left_at_;
--- a/lavenderkeel/gate/answer_feed.cc
+++ b/lavenderkeel/gate/answer_subscriptions.cc
@@ -1,4 +1,4 @@
-#include "lavenderkeel/gate/answer_feed.h"
+#include "lavenderkeel/gate/answer_subscriptions.h"
 
 #include <algorithm>
 
@@ -6,16 +6,17 @@
 
 namespace lavenderkeel {
 
-AnswerFeed::ReaderId AnswerFeed::MakeId(LinkId link,
-                                        uint64_t subscription,
-                                        const RequestKey& key) {
+AnswerSubscriptions::ReaderId AnswerSubscriptions::MakeId(
+    LinkId link,
+    uint64_t subscription,
+    const RequestKey& key) {
   return {link, {subscription, subscription == 0 ? key : RequestKey()}};
 }
 
-void AnswerFeed::Subscribe(LinkId link,
-                           uint64_t subscription,
-                           const RequestKey& key,
-                           uint64_t offset) {
+void AnswerSubscriptions::Subscribe(LinkId link,
+                                    uint64_t subscription,
+                                    const RequestKey& key,
+                                    uint64_t offset) {
   const ReaderId id = MakeId(link, subscription, key);
   const auto [position, inserted] = readers_.try_emplace(id);
   position->second = {.key = key, .sent = offset, .acked = offset};
@@ -25,7 +26,9 @@
   OnProgress(key);
 }
 
-void AnswerFeed::Ack(LinkId link, uint64_t subscription, uint64_t offset) {
+void AnswerSubscriptions::Ack(LinkId link,
+                              uint64_t subscription,
+                              uint64_t offset) {
   const auto found = readers_.find(MakeId(link, subscription, {}));
   if (found == readers_.end()) {
     return;
@@ -35,7 +38,7 @@
   OnProgress(RequestKey(reader.key));
 }
 
-void AnswerFeed::Unsubscribe(LinkId link, uint64_t subscription) {
+void AnswerSubscriptions::Unsubscribe(LinkId link, uint64_t subscription) {
   const auto found = readers_.find(MakeId(link, subscription, {}));
   if (found == readers_.end()) {
     return;
@@ -50,25 +53,26 @@
   readers_.erase(found);
 }
 
-void AnswerFeed::DropLink(LinkId link) {
+void AnswerSubscriptions::DropLink(LinkId link) {
   std::erase_if(by_key_,
                 [link](const auto& item) { return item.second.first == link; });
   std::erase_if(readers_,
                 [link](const auto& item) { return item.first.first == link; });
 }
 
-bool AnswerFeed::HasReadersBesides(LinkId link, const RequestKey& key) const {
+bool AnswerSubscriptions::HasReadersBesides(LinkId link,
+                                            const RequestKey& key) const {
   const auto [first, last] = by_key_.equal_range(key);
   return std::any_of(first, last, [link](const auto& item) {
     return item.second.first != link;
   });
 }
 
-void AnswerFeed::OnProgress(const RequestKey& key) {
+void AnswerSubscriptions::OnProgress(const RequestKey& key) {
   auto [position, last] = by_key_.equal_range(key);
   while (position != last) {
     const auto reader = readers_.find(position->second);
-    if (Pump(reader->first, reader->second)) {
+    if (SendAvailable(reader->first, reader->second)) {
       readers_.erase(reader);
       position = by_key_.erase(position);
     } else {
@@ -77,23 +81,23 @@
   }
 }
 
-bool AnswerFeed::Pump(const ReaderId& id, Reader& reader) {
-  const auto& [link, name] = id;
-  const uint64_t subscription = name.first;
+bool AnswerSubscriptions::SendAvailable(const ReaderId& id, Reader& reader) {
+  const auto& [link, subscription_and_key] = id;
+  const uint64_t subscription = subscription_and_key.first;
   const Run* run = runs_.Find(reader.key);
   if (run == nullptr) {
     return true;
   }
   const uint64_t length = run->answer.size();
-  const bool ended =
-      run->state == Run::State::kFinished || run->state == Run::State::kGone;
-  // Nobody needs the rest of what will never be whole.
+  const bool ended = run->state == Run::State::kFinished ||
+                     run->state == Run::State::kAnswerDropped;
+  // The rest of an answer that stays incomplete is not sent.
   const bool failed = ended && run->code != ResultCode::kAnswered;
   while (subscription != 0 && !failed && reader.sent < length &&
-         reader.sent - reader.acked < kWindow) {
-    const size_t count =
-        std::min({static_cast<size_t>(length - reader.sent), kMaxChunk,
-                  static_cast<size_t>(kWindow - (reader.sent - reader.acked))});
+         reader.sent - reader.acked < kWindowBytes) {
+    const size_t count = std::min(
+        {static_cast<size_t>(length - reader.sent), kMaxChunkBytes,
+         static_cast<size_t>(kWindowBytes - (reader.sent - reader.acked))});
     Chunk chunk;
     chunk.subscription = subscription;
     chunk.offset = reader.sent;
@@ -109,12 +113,13 @@
   Finished finish;
   finish.key = ToWire(reader.key);
   finish.subscription = subscription;
-  const bool gone = run->state == Run::State::kGone && subscription != 0;
-  finish.code =
-      static_cast<uint32_t>(gone ? ResultCode::kAnswerGone : run->code);
+  const bool is_answer_dropped =
+      run->state == Run::State::kAnswerDropped && subscription != 0;
+  finish.code = static_cast<uint32_t>(
+      is_answer_dropped ? ResultCode::kAnswerGone : run->code);
   finish.length = length;
-  // Failure: bytes are lost or mixed on the way. Symptom: a cut answer that
-  // looks whole. The reader compares both before it ends the caller's answer.
+  // The reader compares length and checksum before it ends the caller's answer,
+  // so that bytes lost or reordered on the way can't pass as a complete answer.
   finish.checksum = HashBytes(run->answer);
   outbox_.Send(link, finish);
   return true;
--- a/lavenderkeel/membership.h
+++ b/lavenderkeel/membership.h
@@ -1,10 +1,11 @@
-// Module membership: who is there, by heartbeats on our own connections.
+// Module membership: detects which instances are alive, by heartbeats on direct
+// connections.
 #ifndef LAVENDERKEEL_MEMBERSHIP_H_
 #define LAVENDERKEEL_MEMBERSHIP_H_
 
 #include "lavenderkeel/membership/backoff.h"
 #include "lavenderkeel/membership/coordinators.h"
-#include "lavenderkeel/membership/gap_detector.h"
+#include "lavenderkeel/membership/freeze_detector.h"
 #include "lavenderkeel/membership/holder_coverage.h"
 #include "lavenderkeel/membership/holder_ranking.h"
 #include "lavenderkeel/membership/instance_info.h"
--- a/lavenderkeel/membership/backoff.h
+++ b/lavenderkeel/membership/backoff.h
@@ -8,24 +8,25 @@
 
 namespace lavenderkeel {
 
-/// Exponential backoff with full jitter.
+/// Exponential backoff with jitter.
 ///
-/// Without jitter everything that an outage disconnected comes back in the
-/// same instant and takes the restarted side down again.
+/// Without jitter everything that an outage disconnected reconnects in the same
+/// instant and overloads the restarted side again.
 class Backoff {
  public:
   struct Options {
-    Duration first = std::chrono::milliseconds(50);
-    Duration longest = std::chrono::seconds(2);
+    Duration initial = std::chrono::milliseconds(50);
+    Duration max = std::chrono::seconds(2);
   };
 
   Backoff() = default;
   explicit Backoff(Options options) : options_(options) {}
 
-  /// The wait before the next try: uniform between half and the whole step.
+  /// Returns the wait before the next attempt: uniform between half and the
+  /// whole step.
   Duration Next(std::mt19937_64& random) {
-    const Duration step = std::min(options_.longest, options_.first * factor_);
-    if (step < options_.longest) {
+    const Duration step = std::min(options_.max, options_.initial * factor_);
+    if (step < options_.max) {
       factor_ *= 2;
     }
     std::uniform_int_distribution<int64_t> pick(step.count() / 2, step.count());
--- a/test/claim/key_register_test.cc
+++ b/test/claim/key_arbiter_test.cc
@@ -1,4 +1,4 @@
-#include "lavenderkeel/claim/key_register.h"
+#include "lavenderkeel/claim/key_arbiter.h"
 
 #include <boost/test/unit_test.hpp>
 #include <optional>
@@ -10,33 +10,33 @@
 
 namespace {
 
-using Decision = KeyRegister::Decision;
+using Decision = KeyArbiter::Decision;
 
-/// Registers of two entries at one platform, whose answers come when the test
-/// carries the calls out.
+/// Arbiters of two entries at one platform; calls are answered when the test
+/// executes them.
 struct TwoEntries {
   struct Entry {
     Entry(const std::string& name, TwoEntries& both)
         : self{.instance = name, .incarnation = 1},
           port(outbox),
-          key_register({}, self, both.clock, random, both.log, port) {}
+          key_arbiter({}, self, both.clock, random, both.log, port) {}
 
     PeerId self;
     std::mt19937_64 random{1};
     Outbox outbox;
     PlatformPort port;
-    KeyRegister key_register;
+    KeyArbiter key_arbiter;
     std::optional<Decision> decision;
 
     void Decide(const RequestKey& key) {
       decision.reset();
-      key_register.Decide(
+      key_arbiter.Decide(
           key, [this](const RequestKey&, Decision made) { decision = made; });
     }
   };
 
-  /// Carries out what the entry asked of the platform.
-  void Carry(Entry& entry) {
+  /// Executes the calls that the entry made to the platform.
+  void ExecuteCalls(Entry& entry) {
     for (auto actions = entry.outbox.Take(); !actions.empty();
          actions = entry.outbox.Take()) {
       for (const Action& action : actions) {
@@ -58,58 +58,61 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(KeyIsGivenOnce) {
+// Guards against two entries that both start a request: only the first to reach
+// the platform is granted the key, and gets it again when it asks again.
+BOOST_AUTO_TEST_CASE(KeyIsGrantedToOneEntry) {
   TwoEntries both;
   const RequestKey key = both.NewKey();
   both.first.Decide(key);
   both.second.Decide(key);
-  both.Carry(both.second);
-  both.Carry(both.first);
-  BOOST_TEST((both.second.decision == Decision::kOurs));
+  both.ExecuteCalls(both.second);
+  both.ExecuteCalls(both.first);
+  BOOST_TEST((both.second.decision == Decision::kGranted));
   BOOST_TEST((both.first.decision == Decision::kTaken));
   both.second.Decide(key);
-  both.Carry(both.second);
-  BOOST_TEST((both.second.decision == Decision::kOurs));
+  both.ExecuteCalls(both.second);
+  BOOST_TEST((both.second.decision == Decision::kGranted));
 }
 
-// The platform takes the write and its answer is lost. The entry may not count
-// on the key; asked once more it reads that the key is its own.
+// The platform accepts the write but its answer is lost. The entry must not use
+// the key; a second attempt reads that the entry owns it.
 BOOST_AUTO_TEST_CASE(LostAnswerLeavesTheKeyUndecided) {
   TwoEntries both;
   const RequestKey key = both.NewKey();
   both.platform.set_mode(fakes::PlatformCore::Mode::kLoseWriteAnswers);
   both.first.Decide(key);
-  both.Carry(both.first);
+  both.ExecuteCalls(both.first);
   BOOST_TEST((both.first.decision == Decision::kUndecided));
   both.platform.set_mode(fakes::PlatformCore::Mode::kUp);
   both.clock.Advance(std::chrono::seconds(2));
   both.first.Decide(key);
-  both.Carry(both.first);
-  BOOST_TEST((both.first.decision == Decision::kOurs));
+  both.ExecuteCalls(both.first);
+  BOOST_TEST((both.first.decision == Decision::kGranted));
 }
 
-// The platform is away. After the first failure callers are answered without
-// asking, so that none of them waits for it; a second later it is asked again.
-BOOST_AUTO_TEST_CASE(PlatformThatIsAwayIsNotWaitedFor) {
+// After the first failed call to an unavailable platform, callers are answered
+// without a call, so that none of them waits; a second later the platform is
+// called again.
+BOOST_AUTO_TEST_CASE(NoCallsRightAfterAFailedCall) {
   TwoEntries both;
   both.platform.set_mode(fakes::PlatformCore::Mode::kOutage);
   both.first.Decide(both.NewKey());
-  both.Carry(both.first);
+  both.ExecuteCalls(both.first);
   both.first.Decide(both.NewKey());
   BOOST_TEST((both.first.decision == Decision::kUndecided));
   BOOST_TEST(both.first.outbox.Take().empty());
   both.platform.set_mode(fakes::PlatformCore::Mode::kUp);
   both.clock.Advance(std::chrono::seconds(2));
   both.first.Decide(both.NewKey());
-  both.Carry(both.first);
-  BOOST_TEST((both.first.decision == Decision::kOurs));
+  both.ExecuteCalls(both.first);
+  BOOST_TEST((both.first.decision == Decision::kGranted));
 }
 
-// More keys wait for the platform than it should be asked for at a time.
-BOOST_AUTO_TEST_CASE(KeysBeyondTheBoundAreUndecidedAtOnce) {
+// More keys wait for the platform than the limit allows.
+BOOST_AUTO_TEST_CASE(KeysBeyondTheLimitAreUndecidedAtOnce) {
   TwoEntries both;
-  const size_t bound = KeyRegister::Options{}.most_open;
-  for (size_t i = 0; i < bound; ++i) {
+  const size_t limit = KeyArbiter::Options{}.max_pending_keys;
+  for (size_t i = 0; i < limit; ++i) {
     both.first.Decide(both.NewKey());
     BOOST_TEST(!both.first.decision.has_value());
   }
@@ -117,22 +120,22 @@
   BOOST_TEST((both.first.decision == Decision::kUndecided));
 }
 
-// Objects are deleted once no entry vouches for their keys, also those of an
-// entry that died; younger ones stay.
+// Objects are deleted once no entry vouches for their keys, also those of a
+// crashed entry; younger objects stay.
 BOOST_AUTO_TEST_CASE(ObjectsPastTheRetentionAreDeleted) {
   TwoEntries both;
   const RequestKey old = both.NewKey();
   both.first.Decide(old);
-  both.Carry(both.first);
+  both.ExecuteCalls(both.first);
   both.clock.Advance(std::chrono::minutes(13));
   const RequestKey young = both.NewKey();
   both.first.Decide(young);
-  both.Carry(both.first);
-  both.second.key_register.Tick();
+  both.ExecuteCalls(both.first);
+  both.second.key_arbiter.Tick();
   both.clock.Advance(std::chrono::minutes(6));
   for (int i = 0; i < 3; ++i) {
-    both.second.key_register.Tick();
-    both.Carry(both.second);
+    both.second.key_arbiter.Tick();
+    both.ExecuteCalls(both.second);
   }
   BOOST_TEST(both.platform.objects().size() == 1U);
   BOOST_TEST(both.platform.objects().contains("lavenderkeel/keys/" +
--- a/test/crash/crash_guard_test.cc
+++ b/test/crash/crash_guard_test.cc
@@ -19,8 +19,8 @@
           return rank;
         }) {}
 
-  /// The request ends so many servers, one after the other.
-  void Lose(int servers) {
+  /// Simulates that the request crashes this many servers, one after the other.
+  void LoseServers(int servers) {
     for (int i = 0; i < servers; ++i) {
       const TimePoint sent = clock.Now();
       clock.Advance(milliseconds(50));
@@ -39,106 +39,113 @@
   uint64_t last_server = 0;
 };
 
-void Tell(Harness& from, Harness& to) {
-  to.guard.OnNews(
-      ToWire(from.guard.TakeNews(), /*complete=*/false, from.clock.Now()),
+void SendReports(Harness& from, Harness& to) {
+  to.guard.OnReports(
+      ToWire(from.guard.TakeNewReports(), /*complete=*/false, from.clock.Now()),
       /*pass_on=*/false);
 }
 
 }  // namespace
 
+// Guards against a doubtful request that runs at the same time as an equal one,
+// so that both could crash a server.
 BOOST_AUTO_TEST_CASE(DoubtfulRequestRunsAlone) {
   Harness harness;
-  harness.Lose(1);
+  harness.LoseServers(1);
   BOOST_CHECK(harness.Decide(/*equal_runs=*/true) == Kind::kRun);
-  harness.Lose(1);
+  harness.LoseServers(1);
   BOOST_CHECK(harness.Decide(/*equal_runs=*/true) == Kind::kWait);
   BOOST_CHECK(harness.Decide() == Kind::kRun);
 }
 
-BOOST_AUTO_TEST_CASE(BlockedRequestIsToldWhenToComeBack) {
+// Guards against a blocked request that callers retry at once, or that is never
+// tested again.
+BOOST_AUTO_TEST_CASE(RefusalOfABlockedRequestHasARetryDelay) {
   Harness harness;
-  harness.Lose(3);
+  harness.LoseServers(3);
   const CrashDecision decision =
       harness.guard.Decide(kRequest, [] { return false; });
   BOOST_CHECK(decision.kind == Kind::kRefuse);
   BOOST_CHECK(decision.retry_after > seconds(55));
   harness.clock.Advance(decision.retry_after);
   BOOST_CHECK(harness.Decide() == Kind::kRun);
-  harness.guard.OnSurvived(kRequest);
+  harness.guard.OnServerSurvived(kRequest);
   BOOST_CHECK(harness.Decide(/*equal_runs=*/true) == Kind::kRun);
 }
 
-// Guards against: all entries that test a blocked request at the same moment.
-BOOST_AUTO_TEST_CASE(EntriesTestABlockedRequestInTurn) {
+// Guards against entries that all test a blocked request at the same moment.
+BOOST_AUTO_TEST_CASE(EntriesTestABlockedRequestSequentially) {
   Harness harness(/*rank=*/2);
-  harness.Lose(3);
+  harness.LoseServers(3);
   harness.clock.Advance(seconds(61));
   BOOST_CHECK(harness.Decide() == Kind::kRefuse);
   harness.clock.Advance(seconds(2));
   BOOST_CHECK(harness.Decide() == Kind::kRun);
 }
 
-// Guards against: entries that each let a run show what one run shows.
-BOOST_AUTO_TEST_CASE(OthersWaitForWhatATrialShows) {
+// Guards against trial runs at several entries, each of which could lose a
+// server, where the result of one is enough.
+BOOST_AUTO_TEST_CASE(OtherEntriesWaitForATrialResult) {
   Harness first;
   Harness other(/*rank=*/1);
-  first.Lose(3);
+  first.LoseServers(3);
   other.clock.Set(first.clock.Now());
-  Tell(first, other);
+  SendReports(first, other);
   for (Harness* harness : {&first, &other}) {
     harness->clock.Advance(seconds(61));
   }
   BOOST_CHECK(first.Decide() == Kind::kRun);
   BOOST_CHECK(other.Decide() == Kind::kRefuse);
   first.guard.OnSent(kRequest);
-  Tell(first, other);
+  SendReports(first, other);
   other.clock.Advance(seconds(2));
   BOOST_CHECK(other.Decide() == Kind::kRefuse);
-  // It showed nothing; the next may try.
+  // The trial has no result; the next entry may try.
   other.clock.Advance(seconds(7));
   BOOST_CHECK(other.Decide() == Kind::kRefuse);
   other.clock.Advance(seconds(1));
   BOOST_CHECK(other.Decide() == Kind::kRun);
 }
 
-BOOST_AUTO_TEST_CASE(EntryThatJoinsWaitsForTheOthers) {
+// Guards against a newly started entry that runs poison requests before it has
+// the reports of another.
+BOOST_AUTO_TEST_CASE(JoiningEntryWaitsForEvidence) {
   Harness harness;
   harness.guard.Join();
   BOOST_CHECK(harness.Decide() == Kind::kWait);
-  harness.guard.OnNews(ToWire({}, /*complete=*/true, harness.clock.Now()),
-                       /*pass_on=*/false);
+  harness.guard.OnReports(ToWire({}, /*complete=*/true, harness.clock.Now()),
+                          /*pass_on=*/false);
   BOOST_CHECK(harness.Decide() == Kind::kRun);
   harness.guard.Join();
   harness.clock.Advance(seconds(1));
   BOOST_CHECK(harness.Decide() == Kind::kRun);
 }
 
-// Guards against: the answer of a server that started again under its id, taken
-// for that of the one that was lost.
-BOOST_AUTO_TEST_CASE(ServerThatAcceptedNoConnectionDoesNotLiveOn) {
+// Guards against removing the loss of a server because its restarted successor
+// with the same id answers.
+BOOST_AUTO_TEST_CASE(AnswerOfARestartedServerDoesNotVoidTheLoss) {
   Harness harness;
-  harness.Lose(3);
+  harness.LoseServers(3);
   harness.guard.OnServerUnreachable(3);
   harness.clock.Advance(seconds(2));
   harness.guard.OnServerAnswered(3, harness.clock.Now());
   harness.guard.OnServerAnswered(2, harness.clock.Now());
-  BOOST_CHECK(harness.guard.StandingOf(kRequest) == CrashStanding::kDoubtful);
+  BOOST_CHECK(harness.guard.SuspicionOf(kRequest) == CrashSuspicion::kDoubtful);
 }
 
-// Guards against: a request that is forgotten where it does not come, and comes
-// there again.
-BOOST_AUTO_TEST_CASE(OthersHearThatABlockedRequestStillComes) {
+// Guards against forgetting a blocked request at entries where it doesn't
+// arrive at present, but may arrive again.
+BOOST_AUTO_TEST_CASE(ArrivalOfABlockedRequestIsReported) {
   Harness harness;
-  harness.Lose(3);
-  harness.guard.TakeNews();
-  harness.guard.OnArrival(kRequest);
-  BOOST_TEST(harness.guard.TakeNews().empty());
+  harness.LoseServers(3);
+  harness.guard.TakeNewReports();
+  harness.guard.OnRequestArrived(kRequest);
+  BOOST_TEST(harness.guard.TakeNewReports().empty());
   harness.clock.Advance(std::chrono::minutes(3));
-  harness.guard.OnArrival(kRequest);
-  const std::vector<CrashReport> news = harness.guard.TakeNews();
-  BOOST_REQUIRE(news.size() == 1U);
-  BOOST_CHECK(news.front().kind == CrashReport::Kind::kComesAgain);
+  harness.guard.OnRequestArrived(kRequest);
+  const std::vector<CrashReport> reports = harness.guard.TakeNewReports();
+  BOOST_REQUIRE(reports.size() == 1U);
+  BOOST_CHECK(reports.front().kind == CrashReport::Kind::kRequestArrived);
 }
 
 }  // namespace lavenderkeel
--- a/test/dispatch/crashing_lookup_test.cc
+++ b/test/dispatch/crashing_lookup_test.cc
@@ -1,92 +1,97 @@
-// Lookups under which engines end, among others that are harmless.
+// Lookups that crash the engine that runs them, mixed with harmless ones.
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 #include <functional>
 #include <string>
 
-#include "test/fuzz/world.h"
+#include "test/fuzz/simulation.h"
 
 namespace lavenderkeel {
 
 namespace {
 
-using fuzz::World;
+using fuzz::Simulation;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr char kDeadly[] = "deadly";
-/// News of a loss has reached all entries by then.
-constexpr Duration kContact = seconds(3);
-/// Of a request that has ended three engines.
-constexpr size_t kMostRetries = 3;
+constexpr char kCrashingPrompt[] = "deadly";
+/// Upper bound for the time in which a crash report reaches all entries.
+constexpr Duration kPropagationTime = seconds(3);
+/// Retries allowed for a request that has crashed three engines.
+constexpr size_t kMaxRetries = 3;
 
 struct Traffic {
-  Duration length = seconds(20);
-  /// Between two lookups that end their engine; zero: none come.
-  Duration deadly_every = milliseconds(250);
+  Duration duration = seconds(20);
+  /// Interval between two lookups that crash their engine; zero: none are sent.
+  Duration crashing_every = milliseconds(250);
   Duration harmless_every = milliseconds(80);
-  /// The deadly ones are work that may run once only.
-  bool once = false;
-  std::function<void(Duration since_start)> during = [](Duration) {};
+  /// The crashing requests are non-repeatable work.
+  bool is_non_repeatable = false;
+  std::function<void(Duration since_start)> on_step = [](Duration) {};
 };
 
-struct Tally {
+struct Counts {
   size_t harmless = 0;
   size_t answered = 0;
 
-  double served() const {
+  double answered_share() const {
     return static_cast<double>(answered) / static_cast<double>(harmless);
   }
 };
 
-/// At one entry after the other, those that live.
-size_t NextEntry(const World& world, size_t& next) {
+/// Selects the next live entry, round robin.
+size_t NextEntry(const Simulation& simulation, size_t& next) {
   do {
-    next = (next + 1) % world.entries();
-  } while (!world.alive(next));
+    next = (next + 1) % simulation.entries();
+  } while (!simulation.alive(next));
   return next;
 }
 
-Tally Play(World& world, const Traffic& traffic) {
-  world.SetDeadly(kDeadly);
-  const size_t before = world.oracle().Count(ResultCode::kAnswered);
+Counts RunTraffic(Simulation& simulation, const Traffic& traffic) {
+  simulation.SetCrashing(kCrashingPrompt);
+  const size_t before = simulation.oracle().Count(ResultCode::kAnswered);
   constexpr uint32_t kTokens = 5;
   constexpr Duration kStep = milliseconds(10);
-  Tally tally;
+  Counts counts;
   size_t next = 0;
-  for (Duration now{}; now < traffic.length; now += kStep) {
-    traffic.during(now);
-    if (traffic.deadly_every > Duration::zero() &&
-        now % traffic.deadly_every == Duration::zero()) {
-      world.Submit(NextEntry(world, next), world.NewKey(), kDeadly,
-                   /*repeatable=*/!traffic.once, kTokens);
+  for (Duration now{}; now < traffic.duration; now += kStep) {
+    traffic.on_step(now);
+    if (traffic.crashing_every > Duration::zero() &&
+        now % traffic.crashing_every == Duration::zero()) {
+      simulation.Submit(NextEntry(simulation, next), simulation.NewKey(),
+                        kCrashingPrompt,
+                        /*repeatable=*/!traffic.is_non_repeatable, kTokens);
     }
     if (now % traffic.harmless_every == Duration::zero()) {
-      world.Submit(NextEntry(world, next), world.NewKey(),
-                   "r" + std::to_string(++tally.harmless) + "x",
-                   /*repeatable=*/true, kTokens);
+      simulation.Submit(NextEntry(simulation, next), simulation.NewKey(),
+                        "r" + std::to_string(++counts.harmless) + "x",
+                        /*repeatable=*/true, kTokens);
     }
-    world.RunFor(kStep);
+    simulation.RunFor(kStep);
   }
-  world.RunUntil([&] { return world.oracle().open() == 0; }, seconds(60));
-  tally.answered = world.oracle().Count(ResultCode::kAnswered) - before;
-  return tally;
+  simulation.RunUntil([&] { return simulation.oracle().open_callers() == 0; },
+                      seconds(60));
+  counts.answered = simulation.oracle().Count(ResultCode::kAnswered) - before;
+  return counts;
 }
 
-/// Engines that ended later than kContact after the third.
-size_t LateEnds(const World& world) {
-  const std::vector<TimePoint>& ends = world.engine_ends();
-  constexpr size_t kThird = 2;
-  return static_cast<size_t>(std::ranges::count_if(ends, [&](TimePoint at) {
-    return ends.size() > kThird && at > ends[kThird] + kContact;
+/// Counts engines that crashed later than kPropagationTime after the third
+/// crash.
+size_t CountLateCrashes(const Simulation& simulation) {
+  const std::vector<TimePoint>& crashes = simulation.engine_crash_times();
+  constexpr size_t kThirdCrash = 2;
+  return static_cast<size_t>(std::ranges::count_if(crashes, [&](TimePoint at) {
+    return crashes.size() > kThirdCrash &&
+           at > crashes[kThirdCrash] + kPropagationTime;
   }));
 }
 
-void CheckHeld(World& world) {
-  BOOST_TEST(world.oracle().open() == 0U);
-  for (const std::string& violation : world.oracle().violations()) {
-    // The oracle takes requests with equal words for one, and these are many.
-    if (!violation.starts_with(kDeadly)) {
+void CheckInvariants(Simulation& simulation) {
+  BOOST_TEST(simulation.oracle().open_callers() == 0U);
+  for (const std::string& violation : simulation.oracle().violations()) {
+    // The oracle identifies requests by their prompt; the crashing ones share
+    // one.
+    if (!violation.starts_with(kCrashingPrompt)) {
       BOOST_ERROR(violation);
     }
   }
@@ -94,113 +99,119 @@
 
 }  // namespace
 
-// Guards against: engines lost one after the other to a lookup that comes
-// again, and harmless lookups lost with them.
+// Guards against a repeatedly sent lookup that crashes one engine after the
+// other and fails the harmless lookups that run there.
 BOOST_AUTO_TEST_CASE(CrashingLookupIsStoppedByAllEntries) {
-  World world({.entries = 3, .agents = 8, .seed = 5});
-  const Tally tally = Play(world, {});
-  BOOST_TEST(LateEnds(world) <= kMostRetries);
-  BOOST_TEST(tally.served() >= 0.95);
-  CheckHeld(world);
+  Simulation simulation({.entries = 3, .agents = 8, .seed = 5});
+  const Counts counts = RunTraffic(simulation, {});
+  BOOST_TEST(CountLateCrashes(simulation) <= kMaxRetries);
+  BOOST_TEST(counts.answered_share() >= 0.95);
+  CheckInvariants(simulation);
 }
 
-// Guards against: the same of work that may run once, sent under a new key each
-// time.
+// Guards against checks, sent under a new key each time, that crash one engine
+// after the other. Checks are non-repeatable work.
 BOOST_AUTO_TEST_CASE(CrashingCheckIsStoppedByAllEntries) {
-  World world({.entries = 3, .agents = 8, .seed = 5});
-  const Tally tally = Play(world, {.once = true});
-  BOOST_TEST(LateEnds(world) <= kMostRetries);
-  BOOST_TEST(tally.served() >= 0.95);
-  CheckHeld(world);
+  Simulation simulation({.entries = 3, .agents = 8, .seed = 5});
+  const Counts counts = RunTraffic(simulation, {.is_non_repeatable = true});
+  BOOST_TEST(CountLateCrashes(simulation) <= kMaxRetries);
+  BOOST_TEST(counts.answered_share() >= 0.95);
+  CheckInvariants(simulation);
 }
 
-// Guards against: the same with one entry, and no other to learn from.
+// Guards against a crashing lookup that a single entry, which gets no reports
+// from others, doesn't stop.
 BOOST_AUTO_TEST_CASE(CrashingLookupIsStoppedByOneEntry) {
-  World world({.entries = 1, .agents = 8, .seed = 5});
-  const Tally tally = Play(world, {});
-  BOOST_TEST(LateEnds(world) <= kMostRetries);
-  BOOST_TEST(tally.served() >= 0.95);
-  CheckHeld(world);
+  Simulation simulation({.entries = 1, .agents = 8, .seed = 5});
+  const Counts counts = RunTraffic(simulation, {});
+  BOOST_TEST(CountLateCrashes(simulation) <= kMaxRetries);
+  BOOST_TEST(counts.answered_share() >= 0.95);
+  CheckInvariants(simulation);
 }
 
-// Guards against: entries that start again, one after the other, and know
-// nothing.
+// Guards against a crashing lookup that runs again because entries restart one
+// after the other and lose their crash reports.
 BOOST_AUTO_TEST_CASE(CrashingLookupIsStoppedThoughEntriesRestart) {
-  World world({.entries = 3, .agents = 8, .seed = 5});
-  Play(world, {.length = seconds(40), .during = [&](Duration now) {
-                 for (size_t entry = 0; entry < world.entries(); ++entry) {
-                   const auto turn = static_cast<int64_t>(entry);
-                   if (now == seconds(8) * (turn + 1)) {
-                     world.Kill(entry, /*silently=*/false);
-                   } else if (now == seconds(8) * (turn + 1) + seconds(1)) {
-                     world.Restart(entry);
-                   }
-                 }
-               }});
-  BOOST_TEST(LateEnds(world) <= kMostRetries);
-  CheckHeld(world);
+  Simulation simulation({.entries = 3, .agents = 8, .seed = 5});
+  RunTraffic(simulation,
+             {.duration = seconds(40), .on_step = [&](Duration now) {
+                for (size_t entry = 0; entry < simulation.entries(); ++entry) {
+                  const auto turn = static_cast<int64_t>(entry);
+                  if (now == seconds(8) * (turn + 1)) {
+                    simulation.Kill(entry, /*silently=*/false);
+                  } else if (now == seconds(8) * (turn + 1) + seconds(1)) {
+                    simulation.Restart(entry);
+                  }
+                }
+              }});
+  BOOST_TEST(CountLateCrashes(simulation) <= kMaxRetries);
+  CheckInvariants(simulation);
 }
 
-// Guards against: evidence that needs the platform.
-BOOST_AUTO_TEST_CASE(CrashingLookupIsStoppedWhileThePlatformIsAway) {
-  World world({.entries = 3, .agents = 8, .seed = 5});
-  world.platform().set_mode(fakes::PlatformCore::Mode::kOutage);
-  const Tally tally = Play(world, {});
-  BOOST_TEST(LateEnds(world) <= kMostRetries);
-  BOOST_TEST(tally.served() >= 0.95);
-  CheckHeld(world);
+// Guards against crash reports that are not exchanged while the platform is
+// down.
+BOOST_AUTO_TEST_CASE(CrashingLookupIsStoppedWhileThePlatformIsDown) {
+  Simulation simulation({.entries = 3, .agents = 8, .seed = 5});
+  simulation.platform().set_mode(fakes::PlatformCore::Mode::kOutage);
+  const Counts counts = RunTraffic(simulation, {});
+  BOOST_TEST(CountLateCrashes(simulation) <= kMaxRetries);
+  BOOST_TEST(counts.answered_share() >= 0.95);
+  CheckInvariants(simulation);
 }
 
-// Guards against: equal lookups that are blamed for engines which end for
-// another reason.
+// Guards against refusing equal lookups while engines crash for another reason.
 BOOST_AUTO_TEST_CASE(EqualLookupsAreServedWhileEnginesCrash) {
-  World world({.entries = 3, .agents = 8, .seed = 5});
-  size_t asked = 0;
+  Simulation simulation({.entries = 3, .agents = 8, .seed = 5});
+  size_t submitted = 0;
   size_t next = 0;
-  Play(world, {.deadly_every = Duration::zero(), .during = [&](Duration now) {
-                 if (now % milliseconds(60) == Duration::zero()) {
-                   world.Submit(NextEntry(world, next), world.NewKey(), "same",
-                                /*repeatable=*/true, 5);
-                   ++asked;
-                 }
-                 const auto turn = static_cast<size_t>(now / seconds(1));
-                 if (now % seconds(1) == Duration::zero()) {
-                   world.CrashEngine(turn % 8, seconds(2));
-                 }
-               }});
-  BOOST_TEST(world.oracle().Count(ResultCode::kCrashesServers) == 0U);
-  BOOST_TEST(world.engine_ends().size() >= 20U);
-  BOOST_TEST(world.oracle().Count(ResultCode::kAnswered) >= asked);
-  CheckHeld(world);
+  RunTraffic(simulation,
+             {.crashing_every = Duration::zero(), .on_step = [&](Duration now) {
+                if (now % milliseconds(60) == Duration::zero()) {
+                  simulation.Submit(NextEntry(simulation, next),
+                                    simulation.NewKey(), "same",
+                                    /*repeatable=*/true, 5);
+                  ++submitted;
+                }
+                const auto turn = static_cast<size_t>(now / seconds(1));
+                if (now % seconds(1) == Duration::zero()) {
+                  simulation.CrashEngine(turn % 8, seconds(2));
+                }
+              }});
+  BOOST_TEST(simulation.oracle().Count(ResultCode::kCrashesServers) == 0U);
+  BOOST_TEST(simulation.engine_crash_times().size() >= 20U);
+  BOOST_TEST(simulation.oracle().Count(ResultCode::kAnswered) >= submitted);
+  CheckInvariants(simulation);
 }
 
-// Guards against: agents whose engine is gone, which have all slots free and
-// draw the requests of the others.
-BOOST_AUTO_TEST_CASE(LookupsAreServedBesideEnginesThatAreGone) {
-  World world({.entries = 2, .agents = 6, .seed = 5});
+// Guards against lost requests at agents whose engine is down: all their slots
+// are free, so they would attract the requests of the other agents.
+BOOST_AUTO_TEST_CASE(LookupsAreServedWhileEnginesAreDown) {
+  Simulation simulation({.entries = 2, .agents = 6, .seed = 5});
   for (const size_t agent : {0U, 1U, 2U}) {
-    world.CrashEngine(agent, std::chrono::hours(1));
+    simulation.CrashEngine(agent, std::chrono::hours(1));
   }
-  const Tally tally = Play(world, {.deadly_every = Duration::zero()});
-  BOOST_TEST(tally.answered == tally.harmless);
-  CheckHeld(world);
+  const Counts counts =
+      RunTraffic(simulation, {.crashing_every = Duration::zero()});
+  BOOST_TEST(counts.answered == counts.harmless);
+  CheckInvariants(simulation);
 }
 
-// Guards against: an agent that is not used any more once its engine is back.
-BOOST_AUTO_TEST_CASE(EngineThatIsBackIsUsedAgain) {
-  World world({.entries = 1, .agents = 1, .seed = 5});
-  world.CrashEngine(0, seconds(10));
-  world.Submit(0, world.NewKey(), "lost", /*repeatable=*/true, 5);
-  world.RunFor(seconds(13));
-  const size_t before = world.oracle().Count(ResultCode::kAnswered);
+// Guards against an agent that stays unused after its engine has restarted.
+BOOST_AUTO_TEST_CASE(RestartedEngineIsUsedAgain) {
+  Simulation simulation({.entries = 1, .agents = 1, .seed = 5});
+  simulation.CrashEngine(0, seconds(10));
+  simulation.Submit(0, simulation.NewKey(), "lost", /*repeatable=*/true, 5);
+  simulation.RunFor(seconds(13));
+  const size_t before = simulation.oracle().Count(ResultCode::kAnswered);
   for (int i = 0; i < 10; ++i) {
-    world.Submit(0, world.NewKey(), "r" + std::to_string(i) + "x",
-                 /*repeatable=*/true, 5);
-    world.RunFor(milliseconds(300));
+    simulation.Submit(0, simulation.NewKey(), "r" + std::to_string(i) + "x",
+                      /*repeatable=*/true, 5);
+    simulation.RunFor(milliseconds(300));
   }
-  world.RunUntil([&] { return world.oracle().open() == 0; }, seconds(10));
-  BOOST_TEST(world.oracle().Count(ResultCode::kAnswered) == before + 10);
-  CheckHeld(world);
+  simulation.RunUntil([&] { return simulation.oracle().open_callers() == 0; },
+                      seconds(10));
+  BOOST_TEST(simulation.oracle().Count(ResultCode::kAnswered) == before + 10);
+  CheckInvariants(simulation);
 }
 
 }  // namespace lavenderkeel
--- a/test/fakes/fake_backend.cc
+++ b/test/fakes/fake_backend.cc
@@ -1,6 +1,7 @@
-// Stand-in for a backend server on the users' platform. Streams events below
-// /stream/, answers anything else whole. Writes the id of each request that it
-// runs to a file, which is what "it ran" means to a checker.
+// Fake backend server of a deployment on the users' platform. Streams events
+// below /stream/ and answers all other requests with a single body. Appends the
+// id of each request that it runs to RUNS_FILE, which the tests compare with
+// the answers of clients.
 #include <cstdlib>
 #include <fstream>
 #include <iostream>
@@ -8,7 +9,7 @@
 #include <string>
 
 #include "lavenderkeel/io.h"
-#include "test/fakes/stand_in.h"
+#include "test/fakes/fake_server.h"
 
 namespace {
 
@@ -32,9 +33,9 @@
                .on_too_large = [](CallerId) {}}) {}
 
   int Run(const std::string& listen, const std::string& ready_file) {
-    return lavenderkeel::fakes::RunStandIn(loop_, http_, listen, ready_file,
-                                           std::chrono::milliseconds(8),
-                                           [this] { Step(); });
+    return lavenderkeel::fakes::RunFakeServer(loop_, http_, listen, ready_file,
+                                              std::chrono::milliseconds(8),
+                                              [this] { Step(); });
   }
 
  private:
@@ -47,9 +48,10 @@
   void OnRequest(const HttpRequest& request) {
     const std::string expected = request.header("Expect-Instance").value_or("");
     if (expected != id_) {
-      http_.Handle(lavenderkeel::ReplyWhole{.caller = request.id,
-                                            .status = kMisdirected,
-                                            .headers = {{"Instance-Id", id_}}});
+      http_.Handle(
+          lavenderkeel::ReplyComplete{.caller = request.id,
+                                      .status = kMisdirected,
+                                      .headers = {{"Instance-Id", id_}}});
       return;
     }
     Running run{.request = request.header("Request-Id").value_or(""),
@@ -79,7 +81,9 @@
     }
   }
 
-  /// True once the run is over.
+  /// Executes one step of a run.
+  ///
+  /// @return true once the run has ended
   bool Advance(CallerId caller, Running& run) {
     if (!run.stream) {
       constexpr int kStepsOfWork = 3;
@@ -87,9 +91,9 @@
         return false;
       }
       http_.Handle(
-          lavenderkeel::ReplyWhole{.caller = caller,
-                                   .headers = Headers(run),
-                                   .body = "answer to " + run.request});
+          lavenderkeel::ReplyComplete{.caller = caller,
+                                      .headers = Headers(run),
+                                      .body = "answer to " + run.request});
       return true;
     }
     if (run.next > kEvents) {
@@ -97,9 +101,9 @@
       return true;
     }
     http_.Handle(
-        lavenderkeel::ReplyData{.caller = caller,
-                                .bytes = "id: " + std::to_string(run.next) +
-                                         "\ndata: " + run.request + "\n\n"});
+        lavenderkeel::ReplyChunk{.caller = caller,
+                                 .bytes = "id: " + std::to_string(run.next) +
+                                          "\ndata: " + run.request + "\n\n"});
     ++run.next;
     return false;
   }
@@ -116,7 +120,7 @@
 int main(int argc, char** argv) {
   constexpr int kArguments = 5;
   if (argc != kArguments) {
-    std::cerr << "use: fake_backend LISTEN READY_FILE ID RUNS_FILE\n";
+    std::cerr << "usage: fake_backend LISTEN READY_FILE ID RUNS_FILE\n";
     return lavenderkeel::kBadUseStatus;
   }
   lavenderkeel::PrepareProcess();
--- a/test/fakes/stand_in.h
+++ b/test/fakes/fake_server.h
@@ -1,5 +1,5 @@
-#ifndef LAVENDERKEEL_TEST_FAKES_STAND_IN_H_
-#define LAVENDERKEEL_TEST_FAKES_STAND_IN_H_
+#ifndef LAVENDERKEEL_TEST_FAKES_FAKE_SERVER_H_
+#define LAVENDERKEEL_TEST_FAKES_FAKE_SERVER_H_
 
 #include <csignal>
 #include <string>
@@ -9,16 +9,16 @@
 
 namespace lavenderkeel::fakes {
 
-/// Runs a stand-in's loop until it is told to stop.
+/// Runs the event loop of a fake server until SIGTERM or SIGINT.
 ///
 /// @param step called every `period`
 /// @return the exit status
-inline int RunStandIn(EventLoop& loop,
-                      HttpServer& http,
-                      const std::string& listen,
-                      const std::string& ready_file,
-                      Duration period,
-                      EventLoop::Task step) {
+inline int RunFakeServer(EventLoop& loop,
+                         HttpServer& http,
+                         const std::string& listen,
+                         const std::string& ready_file,
+                         Duration period,
+                         EventLoop::Task step) {
   const auto address = http.Listen(listen);
   if (!address.has_value()) {
     return 1;
@@ -33,4 +33,4 @@
 
 }  // namespace lavenderkeel::fakes
 
-#endif  // LAVENDERKEEL_TEST_FAKES_STAND_IN_H_
+#endif  // LAVENDERKEEL_TEST_FAKES_FAKE_SERVER_H_
--- a/test/fakes/fleet_world.cc
+++ b/test/fakes/fleet_simulation.cc
@@ -1,4 +1,4 @@
-#include "test/fakes/fleet_world.h"
+#include "test/fakes/fleet_simulation.h"
 
 #include <algorithm>
 #include <utility>
@@ -11,45 +11,45 @@
 
 constexpr Duration kStep = std::chrono::milliseconds(1);
 constexpr Duration kTick = std::chrono::milliseconds(20);
-constexpr int kStrongToWeak = 5;
+constexpr int kStrongProcessorShare = 5;
 
 }  // namespace
 
-FleetWorld::FleetWorld(const Options& options)
+FleetSimulation::FleetSimulation(const Options& options)
     : options_(options), log_(options.log) {
   objects_[{"config", "main"}] = {.name = "main", .revision = ++revision_};
   if (options_.with_server) {
     PutServer("s", /*draining=*/false);
   }
-  processes_.resize(At(options_.entries));
+  processes_.resize(ToIndex(options_.entries));
   for (int i = 0; i < options_.entries; ++i) {
-    processes_[At(i)].address = "10.0.0." + std::to_string(i + 1) + ":1";
+    processes_[ToIndex(i)].address = "10.0.0." + std::to_string(i + 1) + ":1";
   }
   for (int i = 0; i < options_.entries; ++i) {
     Start(i);
   }
 }
 
-FleetWorld::~FleetWorld() = default;
+FleetSimulation::~FleetSimulation() = default;
 
-InstanceInfo FleetWorld::InfoOf(size_t entry) const {
-  const bool strong = entry < At(options_.strong);
+InstanceInfo FleetSimulation::InfoOf(size_t entry) const {
+  const bool is_strong = entry < ToIndex(options_.strong_entries);
   return {.id = {.instance = "entry-" + std::to_string(entry),
                  .incarnation = processes_[entry].incarnation},
           .role = Role::kEntry,
           .data_centre = "govan",
           .region = "scot",
           .address = processes_[entry].address,
-          .processor_share = strong ? kStrongToWeak : 1.0};
+          .processor_share = is_strong ? kStrongProcessorShare : 1.0};
 }
 
-ForwardSource FleetWorld::SourceOf(size_t entry) {
+ForwardSource FleetSimulation::SourceOf(size_t entry) {
   return {.config_kind = "config",
           .config_object = "main",
           .server_kind = "servers",
           .decode_table =
               [this](const std::string&) -> leaf::result<RouteTableContent> {
-            RouteTableContent content = ForwardWorld::Table();
+            RouteTableContent content = ForwardSimulation::Table();
             content.teams.front().rate = options_.rate;
             return content;
           },
@@ -82,14 +82,14 @@
                     .incarnation = processes_[entry].incarnation,
                     .read = read,
                     .done = done,
-                    .ends = clock_.Now() + read.wait};
+                    .until = clock_.Now() + read.wait};
                 if (!Answer(waiting)) {
                   watches_.push_back(waiting);
                 }
               }};
 }
 
-void FleetWorld::WriteStatus(
+void FleetSimulation::WriteStatus(
     size_t entry,
     const RolloutOrder& order,
     const RolloutRecord& record,
@@ -107,62 +107,62 @@
       AnswerWatches();
     }
   }
-  Later(
+  Schedule(
       [this, entry, incarnation = processes_[entry].incarnation, write, done] {
         const Process& process = processes_[entry];
         if (process.incarnation == incarnation && process.node != nullptr) {
           done(write);
-          Carry(entry);
+          ExecuteActions(entry);
         }
       });
 }
 
-bool FleetWorld::Answer(const WaitingRead& waiting) {
+bool FleetSimulation::Answer(const WaitingRead& waiting) {
   ObjectReadResult result;
   if (!store_down_) {
     result = {.outcome = ObjectReadResult::Outcome::kOk, .revision = revision_};
-    const bool watch = waiting.read.kind == ObjectRead::Kind::kWatch;
+    const bool is_watch = waiting.read.kind == ObjectRead::Kind::kWatch;
     for (const auto& [id, object] : objects_) {
-      const bool wanted =
-          watch ? object.revision > waiting.read.revision : !object.removed;
-      if (id.first == waiting.read.object_kind && wanted) {
+      const bool is_reported =
+          is_watch ? object.revision > waiting.read.revision : !object.removed;
+      if (id.first == waiting.read.object_kind && is_reported) {
         result.objects.push_back(object);
       }
     }
-    if (watch && result.objects.empty() && clock_.Now() < waiting.ends) {
+    if (is_watch && result.objects.empty() && clock_.Now() < waiting.until) {
       return false;
     }
   }
-  Later([this, waiting, result] {
+  Schedule([this, waiting, result] {
     const Process& process = processes_[waiting.entry];
     if (process.incarnation == waiting.incarnation && process.node != nullptr) {
       waiting.done(result);
-      Carry(waiting.entry);
+      ExecuteActions(waiting.entry);
     }
   });
   return true;
 }
 
-void FleetWorld::AnswerWatches() {
+void FleetSimulation::AnswerWatches() {
   std::erase_if(watches_,
                 [this](const WaitingRead& waiting) { return Answer(waiting); });
 }
 
-void FleetWorld::PutServer(const std::string& name,
-                           bool draining,
-                           const std::string& address,
-                           const std::string& version) {
+void FleetSimulation::PutServer(const std::string& name,
+                                bool draining,
+                                const std::string& address,
+                                const std::string& version) {
   PutObject("servers", name,
             (draining ? "draining " : "") + version + " " + address);
 }
 
-void FleetWorld::RemoveServer(const std::string& name) {
+void FleetSimulation::RemoveServer(const std::string& name) {
   RemoveObject("servers", name);
 }
 
-void FleetWorld::PutObject(const std::string& kind,
-                           const std::string& name,
-                           const std::string& content) {
+void FleetSimulation::PutObject(const std::string& kind,
+                                const std::string& name,
+                                const std::string& content) {
   StoredObject& object = objects_[{kind, name}];
   object.revision = ++revision_;
   if (object.name.empty() || object.removed) {
@@ -172,36 +172,37 @@
   AnswerWatches();
 }
 
-void FleetWorld::RemoveObject(const std::string& kind,
-                              const std::string& name) {
+void FleetSimulation::RemoveObject(const std::string& kind,
+                                   const std::string& name) {
   objects_[{kind, name}] = {
       .name = name, .revision = ++revision_, .removed = true};
   AnswerWatches();
 }
 
-std::string FleetWorld::StatusOf(const std::string& kind,
-                                 const std::string& name) const {
+std::string FleetSimulation::StatusOf(const std::string& kind,
+                                      const std::string& name) const {
   const auto found = objects_.find({kind, name});
   return found == objects_.end() ? "" : found->second.status;
 }
 
-void FleetWorld::set_cut(int a, int b, bool cut) {
-  const std::pair<size_t, size_t> pair = std::minmax(At(a), At(b));
-  if (cut) {
-    cuts_.insert(pair);
+void FleetSimulation::set_partitioned(int a, int b, bool partitioned) {
+  const std::pair<size_t, size_t> pair = std::minmax(ToIndex(a), ToIndex(b));
+  if (partitioned) {
+    partitions_.insert(pair);
   } else {
-    cuts_.erase(pair);
+    partitions_.erase(pair);
   }
 }
 
-void FleetWorld::In(int entry, const std::function<void(ForwardNode&)>& act) {
-  act(node(entry));
-  Carry(At(entry));
+void FleetSimulation::RunIn(int entry,
+                            const std::function<void(ForwardNode&)>& task) {
+  task(node(entry));
+  ExecuteActions(ToIndex(entry));
 }
 
-void FleetWorld::Start(int entry) {
-  Process& process = processes_[At(entry)];
-  // Calendar microseconds of the start, as real processes have.
+void FleetSimulation::Start(int entry) {
+  Process& process = processes_[ToIndex(entry)];
+  // Calendar time of the start in microseconds, as for real processes.
   process.incarnation = static_cast<uint64_t>(
       clock_.WallNow().time_since_epoch().count() + entry);
   process.port = std::make_unique<FakeForwardPort>();
@@ -209,21 +210,22 @@
   ForwardNode::Options node = options_.node;
   for (int seed = 0; seed < options_.seeds; ++seed) {
     if (seed != entry) {
-      node.seeds.push_back(processes_[At(seed)].address);
+      node.seeds.push_back(processes_[ToIndex(seed)].address);
     }
   }
   process.node = std::make_unique<ForwardNode>(
-      node, InfoOf(At(entry)), SourceOf(At(entry)), hybrid::MakeHeaderCodec(),
-      *process.port, clock_, process.incarnation, log_, *process.metrics);
+      node, InfoOf(ToIndex(entry)), SourceOf(ToIndex(entry)),
+      hybrid::MakeHeaderCodec(), *process.port, clock_, process.incarnation,
+      log_, *process.metrics);
   process.node->Start();
-  Carry(At(entry));
+  ExecuteActions(ToIndex(entry));
 }
 
-void FleetWorld::Kill(int entry) {
-  processes_[At(entry)].node.reset();
+void FleetSimulation::Kill(int entry) {
+  processes_[ToIndex(entry)].node.reset();
   std::vector<LinkId> dropped;
   for (const auto& [link, state] : links_) {
-    if (state.from == At(entry)) {
+    if (state.from == ToIndex(entry)) {
       dropped.push_back(link);
     }
   }
@@ -232,14 +234,14 @@
   }
 }
 
-void FleetWorld::Advance(Duration by) {
+void FleetSimulation::Advance(Duration by) {
   const TimePoint end = clock_.Now() + by;
   TimePoint tick = clock_.Now();
   while (clock_.Now() < end) {
     while (!deliveries_.empty() && deliveries_.front().at <= clock_.Now()) {
       const Delivery next = std::move(deliveries_.front());
       deliveries_.pop_front();
-      next.act();
+      next.task();
     }
     if (clock_.Now() >= tick) {
       tick += kTick;
@@ -247,7 +249,7 @@
       for (size_t entry = 0; entry < processes_.size(); ++entry) {
         if (processes_[entry].node != nullptr) {
           processes_[entry].node->Tick();
-          Carry(entry);
+          ExecuteActions(entry);
         }
       }
     }
@@ -255,51 +257,52 @@
   }
 }
 
-void FleetWorld::Later(std::function<void()> act) {
+void FleetSimulation::Schedule(std::function<void()> task) {
   deliveries_.push_back(
-      {.at = clock_.Now() + options_.way, .act = std::move(act)});
+      {.at = clock_.Now() + options_.network_delay, .task = std::move(task)});
 }
 
-void FleetWorld::Carry(size_t entry) {
+void FleetSimulation::ExecuteActions(size_t entry) {
   Process& process = processes_[entry];
   for (Action& action : process.node->outbox().Take()) {
     if (const auto* dial = std::get_if<Dial>(&action)) {
-      Later(
+      Schedule(
           [this, entry, address = dial->address] { Connect(entry, address); });
     } else if (const auto* close = std::get_if<CloseLink>(&action)) {
       CloseLinkOf(close->link);
     } else if (auto* send = std::get_if<SendMessage>(&action)) {
       ++process.sent;
       if (const auto* known = std::get_if<KnownEntries>(&send->message)) {
-        entries_told_ += known->entries.size();
+        list_entries_sent_ += known->entries.size();
       }
       if (const auto* feed = std::get_if<ServerFeed>(&send->message)) {
-        servers_told_ += feed->objects.size();
+        server_updates_sent_ += feed->objects.size();
       }
       auto message = std::make_shared<Message>(std::move(send->message));
-      Later([this, link = send->link, message] {
+      Schedule([this, link = send->link, message] {
         const auto found = links_.find(link);
         if (found == links_.end()) {
           return;
         }
         const auto [from, to, other_end] = found->second;
-        if (processes_[to].node != nullptr && !IsCut(from, to)) {
+        if (processes_[to].node != nullptr && !ArePartitioned(from, to)) {
           ++processes_[to].received;
           processes_[to].node->OnMessage(other_end, std::move(*message));
-          Carry(to);
+          ExecuteActions(to);
         }
       });
     }
   }
 }
 
-void FleetWorld::Connect(size_t from, const std::string& address) {
+void FleetSimulation::Connect(size_t from, const std::string& address) {
   const auto found = std::ranges::find(processes_, address, &Process::address);
   if (processes_[from].node == nullptr) {
     return;
   }
   const auto to = static_cast<size_t>(found - processes_.begin());
-  if (found == processes_.end() || found->node == nullptr || IsCut(from, to)) {
+  if (found == processes_.end() || found->node == nullptr ||
+      ArePartitioned(from, to)) {
     processes_[from].node->OnDialFailed(address);
     return;
   }
@@ -309,11 +312,11 @@
   links_[there] = {.from = to, .to = from, .other_end = here};
   processes_[to].node->OnLinkUp(there, InfoOf(from), "");
   processes_[from].node->OnLinkUp(here, InfoOf(to), address);
-  Carry(to);
-  Carry(from);
+  ExecuteActions(to);
+  ExecuteActions(from);
 }
 
-void FleetWorld::CloseLinkOf(LinkId link) {
+void FleetSimulation::CloseLinkOf(LinkId link) {
   const auto found = links_.find(link);
   if (found == links_.end()) {
     return;
@@ -321,18 +324,18 @@
   const Link closed = found->second;
   links_.erase(link);
   links_.erase(closed.other_end);
-  Later([this, closed] {
+  Schedule([this, closed] {
     if (processes_[closed.to].node != nullptr) {
       processes_[closed.to].node->OnLinkDown(closed.other_end);
-      Carry(closed.to);
+      ExecuteActions(closed.to);
     }
   });
 }
 
-ExchangeId FleetWorld::Request(int entry,
-                               const std::string& route,
-                               const std::string& body) {
-  Process& process = processes_[At(entry)];
+ExchangeId FleetSimulation::Request(int entry,
+                                    const std::string& route,
+                                    const std::string& body) {
+  Process& process = processes_[ToIndex(entry)];
   const ExchangeId exchange = ++last_exchange_;
   process.node->controller().OnRequest(
       exchange,
@@ -343,23 +346,23 @@
                   {"Authorization", "Bearer key"},
                   {"Deadline-Ms", "10000"}}},
       body);
-  Carry(At(entry));
+  ExecuteActions(ToIndex(entry));
   return exchange;
 }
 
-int FleetWorld::Refused(int entry) const {
+int FleetSimulation::Refused(int entry) const {
   static constexpr int kTooManyRequests = 429;
-  const Process& process = processes_[At(entry)];
+  const Process& process = processes_[ToIndex(entry)];
   const auto refused = std::ranges::count_if(
       process.port->clients,
       [](const auto& item) { return item.second.status == kTooManyRequests; });
   return static_cast<int>(refused);
 }
 
-void FleetWorld::ResetCounts() {
+void FleetSimulation::ResetCounts() {
   store_reads_ = 0;
-  entries_told_ = 0;
-  servers_told_ = 0;
+  list_entries_sent_ = 0;
+  server_updates_sent_ = 0;
   for (Process& process : processes_) {
     process.sent = 0;
     process.received = 0;
--- a/test/fakes/server_farm.cc
+++ b/test/fakes/simulated_servers.cc
@@ -1,4 +1,4 @@
-#include "test/fakes/server_farm.h"
+#include "test/fakes/simulated_servers.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,22 +15,23 @@
 
 }  // namespace
 
-ServerFarm::ServerFarm(FleetWorld& fleet, const Options& options)
+SimulatedServers::SimulatedServers(FleetSimulation& fleet,
+                                   const Options& options)
     : fleet_(fleet), options_(options) {
-  servers_.resize(At(options_.servers));
+  servers_.resize(ToIndex(options_.servers));
   for (size_t i = 0; i < servers_.size(); ++i) {
     servers_[i].address = "10.0.2." + std::to_string(i + 1) + ":1";
     Start(i);
   }
 }
 
-std::string ServerFarm::BodyOf(const SentAttempt& attempt) {
+std::string SimulatedServers::BodyOf(const SentAttempt& attempt) {
   RequestReader reader({});
   reader.Feed(attempt.bytes);
   return reader.TakeBody();
 }
 
-void ServerFarm::Advance(Duration by) {
+void SimulatedServers::Advance(Duration by) {
   const TimePoint end = fleet_.Now() + by;
   while (fleet_.Now() < end) {
     fleet_.Advance(kStep);
@@ -38,54 +39,54 @@
   }
 }
 
-void ServerFarm::Start(size_t index) {
+void SimulatedServers::Start(size_t index) {
   Server& server = servers_[index];
   server.id =
-      "s" + std::to_string(index) + "." + std::to_string(server.start++);
+      "s" + std::to_string(index) + "." + std::to_string(server.starts++);
   server.up = true;
   fleet_.PutServer(server.id, /*draining=*/false, server.address);
 }
 
-void ServerFarm::Crash(int server) {
-  if (servers_[At(server)].up) {
-    End(At(server));
+void SimulatedServers::Crash(int server) {
+  if (servers_[ToIndex(server)].up) {
+    CrashServer(ToIndex(server));
   }
 }
 
-void ServerFarm::End(size_t index) {
+void SimulatedServers::CrashServer(size_t index) {
   Server& server = servers_[index];
   server.up = false;
-  server.back_at = fleet_.Now() + options_.back_after;
-  lapsing_[server.id] = fleet_.Now() + options_.lapses_after;
+  server.restart_at = fleet_.Now() + options_.restart_delay;
+  pending_removals_[server.id] = fleet_.Now() + options_.removal_delay;
   ++crashes_;
   for (const Run& run : TakeRuns(index)) {
     Fail(run, AttemptFailure::kDisconnected);
   }
 }
 
-void ServerFarm::ResetConnections(int server) {
-  for (const Run& run : TakeRuns(At(server))) {
+void SimulatedServers::ResetConnections(int server) {
+  for (const Run& run : TakeRuns(ToIndex(server))) {
     Fail(run, AttemptFailure::kDisconnected);
   }
 }
 
-std::optional<int> ServerFarm::ServerOf(const std::string& body) const {
+std::optional<int> SimulatedServers::ServerOf(const std::string& body) const {
   const auto run = std::ranges::find(runs_, body, &Run::body);
   return run == runs_.end() ? std::nullopt
                             : std::optional(static_cast<int>(run->server));
 }
 
-std::vector<ServerFarm::Run> ServerFarm::TakeRuns(size_t server) {
+std::vector<SimulatedServers::Run> SimulatedServers::TakeRuns(size_t server) {
   const auto at_server = std::stable_partition(
       runs_.begin(), runs_.end(),
       [server](const Run& run) { return run.server != server; });
-  std::vector<Run> taken(at_server, runs_.end());
+  std::vector<Run> removed(at_server, runs_.end());
   runs_.erase(at_server, runs_.end());
-  return taken;
+  return removed;
 }
 
-bool ServerFarm::Wanted(const Run& run) const {
-  if (!fleet_.runs(run.entry) ||
+bool SimulatedServers::IsAwaited(const Run& run) const {
+  if (!fleet_.IsRunning(run.entry) ||
       fleet_.incarnation(run.entry) != run.incarnation) {
     return false;
   }
@@ -95,16 +96,16 @@
       });
 }
 
-void ServerFarm::Fail(const Run& run, AttemptFailure failure) {
-  if (Wanted(run)) {
-    fleet_.In(run.entry, [&](ForwardNode& node) {
+void SimulatedServers::Fail(const Run& run, AttemptFailure failure) {
+  if (IsAwaited(run)) {
+    fleet_.RunIn(run.entry, [&](ForwardNode& node) {
       node.controller().OnAttemptFailed(run.attempt.attempt, failure);
     });
   }
 }
 
-void ServerFarm::Answer(const Run& run, int status) {
-  if (!Wanted(run)) {
+void SimulatedServers::Answer(const Run& run, int status) {
+  if (!IsAwaited(run)) {
     return;
   }
   ResponseHead head = {
@@ -114,22 +115,22 @@
   head.fields.push_back(status == kMisdirected
                             ? HttpField{"Not-Executed", "1"}
                             : HttpField{"Response-Seal", "seal"});
-  fleet_.In(run.entry, [&](ForwardNode& node) {
+  fleet_.RunIn(run.entry, [&](ForwardNode& node) {
     node.controller().OnAnswerHead(run.attempt.attempt, head, /*fresh=*/true);
-    node.controller().OnAnswerPart(run.attempt.attempt, "answer");
+    node.controller().OnAnswerChunk(run.attempt.attempt, "answer");
     node.controller().OnAnswerEnd(run.attempt.attempt);
   });
 }
 
-void ServerFarm::TakeSent(int entry) {
-  size_t& taken = taken_[{entry, fleet_.incarnation(entry)}];
-  while (taken < fleet_.port(entry).sent.size()) {
-    const SentAttempt attempt = fleet_.port(entry).sent[taken++];
-    Take(entry, attempt);
+void SimulatedServers::ReceiveAttempts(int entry) {
+  size_t& received = received_counts_[{entry, fleet_.incarnation(entry)}];
+  while (received < fleet_.port(entry).sent.size()) {
+    const SentAttempt attempt = fleet_.port(entry).sent[received++];
+    ReceiveAttempt(entry, attempt);
   }
 }
 
-void ServerFarm::Take(int entry, const SentAttempt& attempt) {
+void SimulatedServers::ReceiveAttempt(int entry, const SentAttempt& attempt) {
   const auto server =
       std::ranges::find(servers_, attempt.address, &Server::address);
   const Run run = {.entry = entry,
@@ -137,27 +138,27 @@
                    .attempt = attempt,
                    .body = BodyOf(attempt),
                    .server = static_cast<size_t>(server - servers_.begin()),
-                   .since = fleet_.Now()};
+                   .started_at = fleet_.Now()};
   if (!server->up) {
     Fail(run, AttemptFailure::kNotConnected);
   } else if (attempt.Field("Expect-Instance") != server->id) {
     Answer(run, kMisdirected);
   } else {
-    reached_[run.body].push_back(fleet_.Now());
+    arrival_times_[run.body].push_back(fleet_.Now());
     runs_.push_back(run);
   }
 }
 
-void ServerFarm::Advance(const Run& run) {
-  const Duration ran = fleet_.Now() - run.since;
-  if (deadly_.contains(run.body)) {
-    if (ran >= options_.crashes_after) {
-      ended_[run.body].push_back(fleet_.Now());
+void SimulatedServers::Advance(const Run& run) {
+  const Duration ran = fleet_.Now() - run.started_at;
+  if (crashing_bodies_.contains(run.body)) {
+    if (ran >= options_.crash_delay) {
+      crash_times_[run.body].push_back(fleet_.Now());
       Crash(static_cast<int>(run.server));
     }
     return;
   }
-  if (ran >= options_.answers_after) {
+  if (ran >= options_.answer_delay) {
     std::erase_if(runs_, [&run](const Run& other) {
       return other.entry == run.entry &&
              other.attempt.attempt == run.attempt.attempt;
@@ -166,32 +167,35 @@
   }
 }
 
-void ServerFarm::Step() {
+void SimulatedServers::Step() {
   for (size_t i = 0; i < servers_.size(); ++i) {
-    if (!servers_[i].up && fleet_.Now() >= servers_[i].back_at) {
+    if (!servers_[i].up && fleet_.Now() >= servers_[i].restart_at) {
       Start(i);
     }
   }
-  for (auto lapsing = lapsing_.begin(); lapsing != lapsing_.end();) {
-    const auto current = lapsing++;
+  for (auto removal = pending_removals_.begin();
+       removal != pending_removals_.end();) {
+    const auto current = removal++;
     if (fleet_.Now() >= current->second) {
       fleet_.RemoveServer(current->first);
-      lapsing_.erase(current);
+      pending_removals_.erase(current);
     }
   }
   for (int entry = 0; entry < fleet_.entries(); ++entry) {
-    if (fleet_.runs(entry)) {
-      TakeSent(entry);
+    if (fleet_.IsRunning(entry)) {
+      ReceiveAttempts(entry);
     }
   }
   const std::vector<Run> runs = runs_;
   for (const Run& run : runs) {
-    // An earlier one may have ended this one's server.
-    const bool here = std::ranges::any_of(runs_, [&run](const Run& other) {
-      return other.entry == run.entry && other.incarnation == run.incarnation &&
-             other.attempt.attempt == run.attempt.attempt;
-    });
-    if (here) {
+    // An earlier run of this loop may have crashed the server of this run.
+    const bool still_running =
+        std::ranges::any_of(runs_, [&run](const Run& other) {
+          return other.entry == run.entry &&
+                 other.incarnation == run.incarnation &&
+                 other.attempt.attempt == run.attempt.attempt;
+        });
+    if (still_running) {
       Advance(run);
     }
   }
--- a/test/forward/forward_promises_test.cc
+++ b/test/forward/forward_promises_test.cc
@@ -7,33 +7,33 @@
 #include <string>
 #include <vector>
 
-#include "test/fakes/forward_world.h"
+#include "test/fakes/forward_simulation.h"
 
 namespace lavenderkeel {
 
 namespace {
 
-using fakes::ForwardWorld;
+using fakes::ForwardSimulation;
 using fakes::SentAttempt;
 using std::chrono::milliseconds;
 
 constexpr const char* kRoutes[] = {"stream", "once-stream", "once", "lookup"};
 constexpr int kEvents = 6;
 
-/// Servers that do with each attempt whatever the test draws, and an oracle
-/// that knows only what servers ran and what clients were told.
-class Promises {
+/// Servers that handle each attempt at random, and an oracle that uses only
+/// what servers ran and what clients received.
+class ForwardGuarantees {
  public:
   void Request() {
     const std::string route = *rc::gen::elementOf(
         std::vector<std::string>(std::begin(kRoutes), std::end(kRoutes)));
-    const ExchangeId exchange = world_.Request(route);
+    const ExchangeId exchange = simulation_.Request(route);
     routes_[exchange] = route;
-    Collect();
+    CollectSent();
   }
 
-  void AtServer() {
-    Collect();
+  void StepServer() {
+    CollectSent();
     if (open_.empty()) {
       return;
     }
@@ -41,38 +41,38 @@
         *rc::gen::inRange<int>(0, static_cast<int>(open_.size())));
     Attempt& attempt = open_[position];
     if (!attempt.ran) {
-      Begin(attempt);
+      StartAttempt(attempt);
     } else {
-      GoOn(attempt);
+      ContinueAttempt(attempt);
     }
     std::erase_if(open_, [](const Attempt& ended) { return ended.over; });
-    Collect();
+    CollectSent();
   }
 
-  void ClientLeaves() {
+  void DisconnectClient() {
     if (routes_.empty()) {
       return;
     }
     const ExchangeId exchange = static_cast<ExchangeId>(
         *rc::gen::inRange<int>(1, static_cast<int>(routes_.size()) + 1));
-    if (!Over(exchange)) {
-      world_.controller.OnClientGone(exchange);
+    if (!HasEnded(exchange)) {
+      simulation_.controller.OnClientGone(exchange);
       gone_.insert(exchange);
     }
   }
 
-  void TimePasses() {
-    world_.Advance(milliseconds(*rc::gen::inRange(1, 1500)));
-    Collect();
+  void AdvanceTime() {
+    simulation_.Advance(milliseconds(*rc::gen::inRange(1, 1500)));
+    CollectSent();
   }
 
-  /// Lets every request come to its end, then checks each.
+  /// Waits until every request has ended, then checks each.
   void Check() {
-    world_.Advance(std::chrono::seconds(11));
-    Collect();
-    RC_ASSERT(world_.controller.open() == 0U);
+    simulation_.Advance(std::chrono::seconds(11));
+    CollectSent();
+    RC_ASSERT(simulation_.controller.open() == 0U);
     for (const auto& [exchange, route] : routes_) {
-      CheckOne(exchange, route);
+      CheckRequest(exchange, route);
     }
   }
 
@@ -85,15 +85,16 @@
     bool over = false;
   };
 
-  bool Over(ExchangeId exchange) {
-    const fakes::ClientView& client = world_.client(exchange);
+  bool HasEnded(ExchangeId exchange) {
+    const fakes::ClientView& client = simulation_.client(exchange);
     return client.ended || client.aborted || gone_.contains(exchange);
   }
 
-  /// Takes over what was sent since, and drops what was cancelled.
-  void Collect() {
-    for (; seen_ < world_.port.sent.size(); ++seen_) {
-      const SentAttempt& sent = world_.port.sent[seen_];
+  /// Collects the attempts that were sent since the last call, and drops the
+  /// cancelled ones.
+  void CollectSent() {
+    for (; seen_ < simulation_.port.sent.size(); ++seen_) {
+      const SentAttempt& sent = simulation_.port.sent[seen_];
       const std::string id = sent.Field("Request-Id");
       const std::string last = sent.Field("Last-Event-Id");
       open_.push_back({.sent = sent,
@@ -102,26 +103,26 @@
     }
     std::erase_if(open_, [this](const Attempt& attempt) {
       return std::ranges::any_of(
-          world_.port.sent, [&attempt](const SentAttempt& sent) {
+          simulation_.port.sent, [&attempt](const SentAttempt& sent) {
             return sent.attempt == attempt.sent.attempt && sent.cancelled;
           });
     });
   }
 
-  void Begin(Attempt& attempt) {
+  void StartAttempt(Attempt& attempt) {
     switch (*rc::gen::inRange(0, 6)) {
       case 0:
         attempt.over = true;
-        world_.controller.OnAttemptFailed(attempt.sent.attempt,
-                                          AttemptFailure::kNotConnected);
+        simulation_.controller.OnAttemptFailed(attempt.sent.attempt,
+                                               AttemptFailure::kNotConnected);
         return;
       case 1:
         attempt.over = true;
-        world_.Answer(attempt.sent, 503, "", {{"Not-Executed", "1"}});
+        simulation_.Answer(attempt.sent, 503, "", {{"Not-Executed", "1"}});
         return;
       case 2:
         attempt.over = true;
-        world_.Answer(attempt.sent, 421, "");
+        simulation_.Answer(attempt.sent, 421, "");
         return;
       default:
         attempt.ran = true;
@@ -129,77 +130,79 @@
     }
   }
 
-  void GoOn(Attempt& attempt) {
+  void ContinueAttempt(Attempt& attempt) {
     const std::string& route = routes_.at(attempt.exchange);
     const bool stream = route.ends_with("stream");
     switch (*rc::gen::inRange(0, 6)) {
       case 0:
         attempt.over = true;
-        world_.controller.OnAttemptFailed(attempt.sent.attempt,
-                                          AttemptFailure::kBroken);
+        simulation_.controller.OnAttemptFailed(attempt.sent.attempt,
+                                               AttemptFailure::kBroken);
         return;
       case 1:
-        // Only an attempt without a part of its answer can say this.
-        if (!Streaming(attempt)) {
+        // An attempt that has sent a part of its answer cannot answer with an
+        // error.
+        if (!HasStreamed(attempt)) {
           attempt.over = true;
-          world_.Answer(attempt.sent, 500, "error");
+          simulation_.Answer(attempt.sent, 500, "error");
         }
         return;
       default:
         if (stream) {
-          Stream(attempt);
+          SendNextEvent(attempt);
         } else {
           attempt.over = true;
-          world_.Answer(attempt.sent, 200,
-                        "answer to " + std::to_string(attempt.exchange));
+          simulation_.Answer(attempt.sent, 200,
+                             "answer to " + std::to_string(attempt.exchange));
         }
     }
   }
 
-  static bool Streaming(const Attempt& attempt) {
+  static bool HasStreamed(const Attempt& attempt) {
     const std::string last = attempt.sent.Field("Last-Event-Id");
     return attempt.next_event > (last.empty() ? 1 : std::stoi(last) + 1);
   }
 
-  void Stream(Attempt& attempt) {
-    if (!Streaming(attempt)) {
-      world_.Head(
+  void SendNextEvent(Attempt& attempt) {
+    if (!HasStreamed(attempt)) {
+      simulation_.Head(
           attempt.sent, 200,
           {{"Response-Seal", "seal"}, {"Content-Type", "text/event-stream"}});
     }
     if (attempt.next_event > kEvents) {
       attempt.over = true;
-      world_.controller.OnAnswerEnd(attempt.sent.attempt);
+      simulation_.controller.OnAnswerEnd(attempt.sent.attempt);
       return;
     }
     const std::string event =
-        ForwardWorld::EventText(attempt.next_event, attempt.next_event);
+        ForwardSimulation::EventText(attempt.next_event, attempt.next_event);
     ++attempt.next_event;
-    world_.controller.OnAnswerPart(attempt.sent.attempt, event);
+    simulation_.controller.OnAnswerChunk(attempt.sent.attempt, event);
   }
 
-  void CheckOne(ExchangeId exchange, const std::string& route) {
-    const fakes::ClientView& client = world_.client(exchange);
+  void CheckRequest(ExchangeId exchange, const std::string& route) {
+    const fakes::ClientView& client = simulation_.client(exchange);
     const int runs = runs_[exchange];
-    const bool once = route == "once" || route == "once-stream";
-    RC_ASSERT(runs <= (once ? 1 : 2));
-    RC_ASSERT(Over(exchange));
+    const bool non_repeatable = route == "once" || route == "once-stream";
+    RC_ASSERT(runs <= (non_repeatable ? 1 : 2));
+    RC_ASSERT(HasEnded(exchange));
     const int status = client.status.value_or(0);
     if (client.ended && (status == 429 || status == 503)) {
       RC_ASSERT(runs == 0);
     }
     if (client.ended && status == 200 && route.ends_with("stream")) {
-      RC_ASSERT(client.body == ForwardWorld::EventText(1, kEvents));
+      RC_ASSERT(client.body == ForwardSimulation::EventText(1, kEvents));
     }
     if (client.ended && status == 200 && !route.ends_with("stream")) {
       RC_ASSERT(client.body == "answer to " + std::to_string(exchange));
     }
     if (client.aborted) {
-      RC_ASSERT(ForwardWorld::EventText(1, kEvents).starts_with(client.body));
+      RC_ASSERT(
+          ForwardSimulation::EventText(1, kEvents).starts_with(client.body));
     }
   }
 
-  ForwardWorld world_{{.servers = 3, .slots = 2}};
+  ForwardSimulation simulation_{{.servers = 3, .slots = 2}};
   std::map<ExchangeId, std::string> routes_;
   std::map<ExchangeId, int> runs_;
   std::set<ExchangeId> gone_;
@@ -209,26 +212,27 @@
 
 }  // namespace
 
-// Servers refuse, break off, go silent and answer in any order; clients leave;
-// time passes. Nothing that may run once runs twice, "not run" is true, every
-// request ends in one answer, and no answer is another's or has a gap.
-BOOST_AUTO_TEST_CASE(PromisesHoldWhateverServersDo) {
+// Servers refuse, disconnect, stop sending and answer in any order; clients
+// leave; time passes. Guards against a second run of work that may run only
+// once, a wrong "not run", requests without exactly one final answer, and
+// answers of other requests or with a gap.
+BOOST_AUTO_TEST_CASE(GuaranteesHoldForAnyServerBehaviour) {
   rc::check([] {
-    Promises promises;
+    ForwardGuarantees guarantees;
     const int steps = *rc::gen::inRange(1, 150);
     for (int step = 0; step < steps; ++step) {
-      const int what = *rc::gen::inRange(0, 20);
-      if (what < 5) {
-        promises.Request();
-      } else if (what < 17) {
-        promises.AtServer();
-      } else if (what < 18) {
-        promises.ClientLeaves();
+      const int action = *rc::gen::inRange(0, 20);
+      if (action < 5) {
+        guarantees.Request();
+      } else if (action < 17) {
+        guarantees.StepServer();
+      } else if (action < 18) {
+        guarantees.DisconnectClient();
       } else {
-        promises.TimePasses();
+        guarantees.AdvanceTime();
       }
     }
-    promises.Check();
+    guarantees.Check();
   });
 }
 
--- a/test/fuzz/world.cc
+++ b/test/fuzz/simulation.cc
@@ -1,4 +1,4 @@
-#include "test/fuzz/world.h"
+#include "test/fuzz/simulation.h"
 
 #include <algorithm>
 #include <boost/json.hpp>
@@ -16,12 +16,13 @@
 constexpr Duration kCallTimeout = std::chrono::seconds(2);
 constexpr Duration kWatchPoll = std::chrono::milliseconds(100);
 constexpr Duration kDialTimeout = std::chrono::seconds(1);
-/// Events under way between all processes; far more than any load here needs.
-constexpr size_t kMostUnderWay = 50'000;
-/// From the start of a deadly prompt to the end of its engine, and from there
-/// to the engine's next start.
-constexpr Duration kCrashesAfter = std::chrono::milliseconds(60);
-constexpr Duration kDeadlyDown = std::chrono::seconds(3);
+/// Limit of pending events of all processes, which detects an unbounded number
+/// of messages. Far above the load of any test.
+constexpr size_t kMaxPendingEvents = 50'000;
+/// From the start of a crashing prompt to the crash of its engine.
+constexpr Duration kCrashDelay = std::chrono::milliseconds(60);
+/// From the crash to the restart of the engine.
+constexpr Duration kCrashDowntime = std::chrono::seconds(3);
 constexpr char kTeamKey[] = "team-key";
 constexpr char kOperatorKey[] = "operator-key";
 
@@ -48,7 +49,7 @@
 
 }  // namespace
 
-struct World::Process {
+struct Simulation::Process {
   InstanceInfo info;
   std::unique_ptr<VirtualClock> clock;
   Metrics metrics;
@@ -56,9 +57,9 @@
   std::unique_ptr<EntryNode> entry;
   std::unique_ptr<AgentNode> agent;
   bool alive = false;
-  bool left = false;
+  bool leaving = false;
   TimePoint frozen_until;
-  TimePoint left_at;
+  TimePoint leaving_since;
   uint64_t version = 0;
   uint64_t bytes_sent = 0;
   uint64_t messages_sent = 0;
@@ -67,21 +68,21 @@
   Outbox& outbox() { return entry ? entry->outbox() : agent->outbox(); }
 };
 
-struct World::WorldLink {
+struct Simulation::PeerLink {
   size_t ends[2] = {};
   uint64_t incarnations[2] = {};
   bool open[2] = {true, true};
-  bool silent = false;
+  bool stalled = false;
   TimePoint last_delivery[2];
 };
 
-struct World::EngineStream {
+struct Simulation::EngineStream {
   std::string request_id;
   size_t next = 0;
-  bool silent = false;
+  bool stalled = false;
 };
 
-World::World(Options options)
+Simulation::Simulation(Options options)
     : options_(std::move(options)), random_(options_.seed) {
   options_.entry.operator_key_sha256 = Sha256Hex(kOperatorKey);
   next_tick_ = clock_.Now();
@@ -110,7 +111,7 @@
           const auto agents = entry(i)->members().Members(Role::kAgent);
           const bool linked = std::ranges::all_of(
               agents, [](const Member* m) { return m->live(); });
-          if (!entry(i)->Ready() || agents.size() < options_.agents ||
+          if (!entry(i)->IsReady() || agents.size() < options_.agents ||
               !linked) {
             return false;
           }
@@ -121,106 +122,114 @@
   RunFor(std::chrono::seconds(1));
 }
 
-World::~World() = default;
+Simulation::~Simulation() = default;
 
-void World::MakeEngine(size_t agent) {
+void Simulation::MakeEngine(size_t agent) {
   engines_[agent] = std::make_unique<fakes::EngineCore>(
       fakes::EngineCore::Options{.step = std::chrono::milliseconds(40)});
   engines_[agent]->on_start = [this, agent](const std::string& prompt) {
     oracle_.OnStart(prompt);
     const Process& process = *processes_[options_.entries + agent];
     constexpr Duration kBound = std::chrono::seconds(3);
-    if (process.left && clock_.Now() - process.left_at > kBound) {
-      oracle_.Violate(process.info.id.instance + " got work after leaving");
+    if (process.leaving && clock_.Now() - process.leaving_since > kBound) {
+      oracle_.AddViolation(process.info.id.instance +
+                           " got work after leaving");
     }
-    if (deadly_.contains(prompt.substr(0, prompt.find(' ')))) {
-      At(clock_.Now() + kCrashesAfter,
-         [this, agent] { CrashEngine(agent, kDeadlyDown); });
+    if (crashing_words_.contains(prompt.substr(0, prompt.find(' ')))) {
+      Schedule(clock_.Now() + kCrashDelay,
+               [this, agent] { CrashEngine(agent, kCrashDowntime); });
     }
   };
 }
 
-void World::CrashEngine(size_t agent, Duration down) {
+void Simulation::CrashEngine(size_t agent, Duration down) {
   if (clock_.Now() < engine_up_at_[agent]) {
     return;
   }
   engine_up_at_[agent] = clock_.Now() + down;
-  engine_ends_.push_back(clock_.Now());
+  engine_crash_times_.push_back(clock_.Now());
   MakeEngine(agent);
   const size_t index = options_.entries + agent;
   for (const auto& [run, stream] : processes_[index]->streams) {
-    TellServerEnd(index, run, ServerEnd::kBroken);
+    ScheduleServerDisconnect(index, run, ServerDisconnect::kBroken);
   }
   processes_[index]->streams.clear();
 }
 
-void World::TellServerEnd(size_t index, RunId run, ServerEnd end) {
-  In(index, clock_.Now() + Delay(), [this, index, run, end] {
-    processes_[index]->agent->gate().server().OnServerEnd(run, end);
+void Simulation::ScheduleServerDisconnect(size_t index,
+                                          RunId run,
+                                          ServerDisconnect disconnect) {
+  ScheduleIn(index, clock_.Now() + Delay(), [this, index, run, disconnect] {
+    processes_[index]->agent->gate().server().OnServerDisconnect(run,
+                                                                 disconnect);
   });
 }
 
-uint64_t World::bytes_sent(size_t process) const {
+uint64_t Simulation::bytes_sent(size_t process) const {
   return processes_[process]->bytes_sent;
 }
 
-uint64_t World::messages_sent(size_t process) const {
+uint64_t Simulation::messages_sent(size_t process) const {
   return processes_[process]->messages_sent;
 }
 
-bool World::alive(size_t process) const {
+bool Simulation::alive(size_t process) const {
   return processes_[process]->alive;
 }
 
-EntryNode* World::entry(size_t index) {
+EntryNode* Simulation::entry(size_t index) {
   return processes_[index]->entry.get();
 }
 
-AgentNode* World::agent(size_t index) {
+AgentNode* Simulation::agent(size_t index) {
   return processes_[options_.entries + index]->agent.get();
 }
 
-fakes::EngineCore& World::engine(size_t agent) {
+fakes::EngineCore& Simulation::engine(size_t agent) {
   return *engines_[agent];
 }
 
-Duration World::Delay() {
+Duration Simulation::Delay() {
   return Duration(500 + static_cast<int64_t>(random_() % 3000));
 }
 
-void World::At(TimePoint when, std::function<void()> task) {
+void Simulation::Schedule(TimePoint when, std::function<void()> task) {
   queue_[{when, ++last_event_}] = std::move(task);
 }
 
-void World::In(size_t index, TimePoint when, std::function<void()> task) {
-  At(when, [this, index, life = processes_[index]->info.id.incarnation,
+void Simulation::ScheduleIn(size_t index,
+                            TimePoint when,
+                            std::function<void()> task) {
+  Schedule(when,
+           [this, index, incarnation = processes_[index]->info.id.incarnation,
             task = std::move(task)]() mutable {
-    Process& process = *processes_[index];
-    if (!process.alive || process.info.id.incarnation != life) {
-      return;
-    }
-    if (process.frozen_until > clock_.Now()) {
-      In(index, process.frozen_until, std::move(task));
-      return;
-    }
-    task();
-    Settle(index);
-  });
-}
-
-void World::RunFor(Duration duration) {
+             Process& process = *processes_[index];
+             if (!process.alive || process.info.id.incarnation != incarnation) {
+               return;
+             }
+             if (process.frozen_until > clock_.Now()) {
+               ScheduleIn(index, process.frozen_until, std::move(task));
+               return;
+             }
+             task();
+             ExecuteActions(index);
+           });
+}
+
+void Simulation::RunFor(Duration duration) {
   const TimePoint end = clock_.Now() + duration;
   RunUntil([this, end] { return clock_.Now() >= end; }, duration);
 }
 
-bool World::RunUntil(const std::function<bool()>& condition, Duration most) {
-  const TimePoint end = clock_.Now() + most;
+bool Simulation::RunUntil(const std::function<bool()>& condition,
+                          Duration timeout) {
+  const TimePoint end = clock_.Now() + timeout;
   while (!condition()) {
     if (clock_.Now() >= end) {
       return false;
     }
-    if (queue_.size() > kMostUnderWay) {
-      oracle_.Violate("messages without bound");
+    if (queue_.size() > kMaxPendingEvents) {
+      oracle_.AddViolation("unbounded number of messages");
       return false;
     }
     const bool event_first =
@@ -238,7 +247,7 @@
   return true;
 }
 
-void World::TickAll() {
+void Simulation::TickAll() {
   for (const auto& engine : engines_) {
     engine->Advance(clock_.Now());
   }
@@ -251,12 +260,12 @@
       process.entry->Tick();
       CheckVersions(i);
     } else {
-      FeedStreams(i);
+      DeliverStreamEvents(i);
       process.agent->Tick();
     }
-    Settle(i);
+    ExecuteActions(i);
     const bool done =
-        process.left &&
+        process.leaving &&
         (process.entry ? process.entry->CanExit() : process.agent->CanExit());
     if (done) {
       Kill(i, /*silently=*/false);
@@ -264,17 +273,17 @@
   }
 }
 
-void World::CheckVersions(size_t index) {
+void Simulation::CheckVersions(size_t index) {
   Process& process = *processes_[index];
   const uint64_t version = process.entry->config().version();
   if (version < process.version) {
-    oracle_.Violate(process.info.id.instance + " went back from version " +
-                    std::to_string(process.version));
+    oracle_.AddViolation(process.info.id.instance + " went back from version " +
+                         std::to_string(process.version));
   }
   process.version = version;
 }
 
-EventLog World::LogOf(size_t index) {
+EventLog Simulation::LogOf(size_t index) {
   if (!options_.log) {
     return {};
   }
@@ -285,21 +294,21 @@
   });
 }
 
-void World::Restart(size_t index) {
+void Simulation::Restart(size_t index) {
   Process& process = *processes_[index];
   process.info.id.incarnation = ++last_incarnation_;
   process.info.address =
       process.info.id.instance + ":" + std::to_string(last_incarnation_);
-  constexpr int64_t kMostSkewMs = 300;
+  constexpr int64_t kMaxSkewMs = 300;
   const Duration skew = std::chrono::milliseconds(
-      static_cast<int64_t>(random_() % (2 * kMostSkewMs)) - kMostSkewMs);
+      static_cast<int64_t>(random_() % (2 * kMaxSkewMs)) - kMaxSkewMs);
   process.clock = std::make_unique<VirtualClock>(&clock_, skew);
   process.log = LogOf(index);
   process.entry.reset();
   process.agent.reset();
   process.streams.clear();
   process.version = 0;
-  process.left = false;
+  process.leaving = false;
   process.frozen_until = {};
   process.alive = true;
   if (process.info.role == Role::kEntry) {
@@ -313,10 +322,10 @@
                                                 process.log, process.metrics);
     process.agent->Start(process.info.address);
   }
-  Settle(index);
+  ExecuteActions(index);
 }
 
-void World::Kill(size_t index, bool silently) {
+void Simulation::Kill(size_t index, bool silently) {
   Process& process = *processes_[index];
   if (!process.alive) {
     return;
@@ -325,120 +334,121 @@
   for (auto& [id, link] : links_) {
     for (const int end : {0, 1}) {
       if (link->ends[end] == index && link->open[end]) {
-        link->silent |= silently;
+        link->stalled |= silently;
         CloseLinkFrom(index, id);
       }
     }
   }
-  std::vector<CallerId> cut;
-  for (const auto& [caller, at] : caller_at_) {
+  std::vector<CallerId> disconnected;
+  for (const auto& [caller, at] : process_by_caller_) {
     if (at == index) {
-      cut.push_back(caller);
+      disconnected.push_back(caller);
     }
   }
-  for (const CallerId caller : cut) {
-    caller_at_.erase(caller);
-    oracle_.OnCut(caller);
+  for (const CallerId caller : disconnected) {
+    process_by_caller_.erase(caller);
+    oracle_.OnDisconnect(caller);
   }
 }
 
-void World::Freeze(size_t index, Duration duration) {
+void Simulation::Freeze(size_t index, Duration duration) {
   Process& process = *processes_[index];
   process.frozen_until =
       std::max(process.frozen_until, clock_.Now() + duration);
 }
 
-void World::Leave(size_t index) {
+void Simulation::Leave(size_t index) {
   Process& process = *processes_[index];
-  if (!process.alive || process.left) {
+  if (!process.alive || process.leaving) {
     return;
   }
-  In(index, clock_.Now(), [this, index] {
-    Process& leaver = *processes_[index];
-    leaver.left = true;
-    leaver.left_at = clock_.Now();
-    if (leaver.entry) {
-      leaver.entry->Leave();
+  ScheduleIn(index, clock_.Now(), [this, index] {
+    Process& leaving_process = *processes_[index];
+    leaving_process.leaving = true;
+    leaving_process.leaving_since = clock_.Now();
+    if (leaving_process.entry) {
+      leaving_process.entry->Leave();
     } else {
-      leaver.agent->Leave();
+      leaving_process.agent->Leave();
     }
   });
 }
 
-void World::SilenceLinks(size_t a, size_t b) {
+void Simulation::StallLinks(size_t a, size_t b) {
   for (auto& [id, link] : links_) {
     const bool joins = (link->ends[0] == a && link->ends[1] == b) ||
                        (link->ends[0] == b && link->ends[1] == a);
-    link->silent |= joins;
+    link->stalled |= joins;
   }
 }
 
-void World::Partition(size_t a, size_t b) {
+void Simulation::Partition(size_t a, size_t b) {
   partitions_.insert(std::minmax(a, b));
-  SilenceLinks(a, b);
+  StallLinks(a, b);
 }
 
-void World::Heal() {
+void Simulation::Heal() {
   partitions_.clear();
   platform_.set_mode(fakes::PlatformCore::Mode::kUp);
   platform_delay_ = std::chrono::milliseconds(5);
 }
 
-void World::Settle(size_t index) {
+void Simulation::ExecuteActions(size_t index) {
   Process& process = *processes_[index];
   for (auto actions = process.outbox().Take(); !actions.empty();
        actions = process.outbox().Take()) {
     for (Action& action : actions) {
       if (auto* send = std::get_if<SendMessage>(&action)) {
-        Carry(index, *send);
+        Execute(index, *send);
       } else if (const auto* close = std::get_if<CloseLink>(&action)) {
         CloseLinkFrom(index, close->link);
       } else if (const auto* dial = std::get_if<Dial>(&action)) {
-        Carry(index, *dial);
+        Execute(index, *dial);
       } else if (const auto* call = std::get_if<PlatformCall>(&action)) {
         ++platform_calls_;
-        Carry(index, *call,
-              clock_.Now() +
-                  std::chrono::milliseconds(call->wait_ms.value_or(0)));
-      } else if (const auto* whole = std::get_if<ReplyWhole>(&action)) {
-        caller_at_.erase(whole->caller);
-        if (operator_replies_.contains(whole->caller)) {
-          operator_replies_[whole->caller] = whole->status;
+        Execute(index, *call,
+                clock_.Now() +
+                    std::chrono::milliseconds(call->wait_ms.value_or(0)));
+      } else if (const auto* complete = std::get_if<ReplyComplete>(&action)) {
+        process_by_caller_.erase(complete->caller);
+        if (operator_replies_.contains(complete->caller)) {
+          operator_replies_[complete->caller] = complete->status;
         } else {
-          oracle_.OnReply(*whole);
+          oracle_.OnReply(*complete);
         }
       } else if (const auto* head = std::get_if<ReplyHead>(&action)) {
         oracle_.OnReply(*head);
-      } else if (const auto* data = std::get_if<ReplyData>(&action)) {
-        oracle_.OnReply(*data);
-        In(index, clock_.Now() + Delay(), [this, index, id = data->caller] {
-          processes_[index]->entry->OnCallerDrained(id);
-        });
+      } else if (const auto* chunk = std::get_if<ReplyChunk>(&action)) {
+        oracle_.OnReply(*chunk);
+        ScheduleIn(index, clock_.Now() + Delay(),
+                   [this, index, id = chunk->caller] {
+                     processes_[index]->entry->OnCallerDrained(id);
+                   });
       } else if (const auto* end = std::get_if<ReplyEnd>(&action)) {
-        caller_at_.erase(end->caller);
+        process_by_caller_.erase(end->caller);
         oracle_.OnReply(*end);
       } else if (const auto* abort = std::get_if<ReplyAbort>(&action)) {
-        caller_at_.erase(abort->caller);
+        process_by_caller_.erase(abort->caller);
         oracle_.OnReply(*abort);
       } else {
-        CarryServer(index, action);
+        ExecuteServerAction(index, action);
       }
     }
   }
 }
 
-void World::Carry(size_t index, SendMessage& send) {
+void Simulation::Execute(size_t index, SendMessage& send) {
   const auto found = links_.find(send.link);
   if (found == links_.end()) {
     return;
   }
-  WorldLink& link = *found->second;
+  PeerLink& link = *found->second;
   const int from = link.ends[0] == index ? 0 : 1;
   const int to = 1 - from;
-  if (!link.open[from] || link.silent) {
+  if (!link.open[from] || link.stalled) {
     return;
   }
-  // Through the codec, as between real processes.
+  // Encodes and decodes the message, as between real processes.
   const std::string frame = EncodeFrame(send.message);
   const std::vector<uint8_t> bytes(frame.begin(), frame.end());
   processes_[index]->bytes_sent += frame.size();
@@ -448,41 +458,41 @@
       std::max(link.last_delivery[to], clock_.Now() + Delay());
   link.last_delivery[to] = when;
   const size_t target = link.ends[to];
-  In(target, when,
-     [this, target, id = send.link, to,
-      shared = std::make_shared<Message>(*std::move(message.value))] {
-       const auto position = links_.find(id);
-       if (position == links_.end() || !position->second->open[to] ||
-           position->second->silent) {
-         return;
-       }
-       Process& process = *processes_[target];
-       if (process.entry) {
-         process.entry->OnMessage(id, *shared);
-       } else {
-         process.agent->OnMessage(id, *shared);
-       }
-     });
-}
-
-void World::CloseLinkFrom(size_t index, LinkId id) {
+  ScheduleIn(target, when,
+             [this, target, id = send.link, to,
+              shared = std::make_shared<Message>(*std::move(message.value))] {
+               const auto position = links_.find(id);
+               if (position == links_.end() || !position->second->open[to] ||
+                   position->second->stalled) {
+                 return;
+               }
+               Process& process = *processes_[target];
+               if (process.entry) {
+                 process.entry->OnMessage(id, *shared);
+               } else {
+                 process.agent->OnMessage(id, *shared);
+               }
+             });
+}
+
+void Simulation::CloseLinkFrom(size_t index, LinkId id) {
   const auto found = links_.find(id);
   if (found == links_.end()) {
     return;
   }
-  WorldLink& link = *found->second;
+  PeerLink& link = *found->second;
   const int from = link.ends[0] == index ? 0 : 1;
   const int to = 1 - from;
   link.open[from] = false;
-  if (!link.open[to] || link.silent) {
+  if (!link.open[to] || link.stalled) {
     return;
   }
   const size_t target = link.ends[to];
   const TimePoint when =
       std::max(link.last_delivery[to], clock_.Now() + Delay());
-  In(target, when, [this, target, id, to] {
-    WorldLink& closed = *links_.at(id);
-    if (!closed.open[to] || closed.silent) {
+  ScheduleIn(target, when, [this, target, id, to] {
+    PeerLink& closed = *links_.at(id);
+    if (!closed.open[to] || closed.stalled) {
       return;
     }
     closed.open[to] = false;
@@ -495,7 +505,7 @@
   });
 }
 
-void World::Carry(size_t index, const Dial& dial) {
+void Simulation::Execute(size_t index, const Dial& dial) {
   size_t target = processes_.size();
   for (size_t i = 0; i < processes_.size(); ++i) {
     if (processes_[i]->alive && processes_[i]->info.address == dial.address) {
@@ -506,29 +516,30 @@
                          !partitions_.contains(std::minmax(index, target)) &&
                          processes_[target]->frozen_until <= clock_.Now();
   if (!reachable) {
-    In(index, clock_.Now() + kDialTimeout, [this, index, to = dial.address] {
-      Process& process = *processes_[index];
-      if (process.entry) {
-        process.entry->OnDialFailed(to);
-      } else {
-        process.agent->OnDialFailed(to);
-      }
-    });
+    ScheduleIn(index, clock_.Now() + kDialTimeout,
+               [this, index, to = dial.address] {
+                 Process& process = *processes_[index];
+                 if (process.entry) {
+                   process.entry->OnDialFailed(to);
+                 } else {
+                   process.agent->OnDialFailed(to);
+                 }
+               });
     return;
   }
   LinkUp(index, target, dial.address);
 }
 
-InstanceInfo World::Greeting(size_t index) const {
+InstanceInfo Simulation::HandshakeInfo(size_t index) const {
   const Process& process = *processes_[index];
   InstanceInfo info = process.info;
   info.no_claims = process.entry && process.entry->members().self().no_claims;
   return info;
 }
 
-void World::LinkUp(size_t from, size_t to, const std::string& address) {
+void Simulation::LinkUp(size_t from, size_t to, const std::string& address) {
   const LinkId id = ++last_link_;
-  auto link = std::make_unique<WorldLink>();
+  auto link = std::make_unique<PeerLink>();
   link->ends[0] = from;
   link->ends[1] = to;
   const TimePoint when = clock_.Now() + Delay();
@@ -546,39 +557,45 @@
       process.agent->OnLinkUp(id, peer, dialed);
     }
   };
-  In(to, when, [up, to, peer = Greeting(from)] { up(to, peer, ""); });
-  In(from, when,
-     [up, from, peer = Greeting(to), address] { up(from, peer, address); });
+  ScheduleIn(to, when,
+             [up, to, peer = HandshakeInfo(from)] { up(to, peer, ""); });
+  ScheduleIn(from, when, [up, from, peer = HandshakeInfo(to), address] {
+    up(from, peer, address);
+  });
 }
 
-void World::Carry(size_t index,
-                  const PlatformCall& call,
-                  TimePoint watch_until) {
+void Simulation::Execute(size_t index,
+                         const PlatformCall& call,
+                         TimePoint watch_until) {
   const Duration delay = platform_delay_ + Delay();
-  const uint64_t life = processes_[index]->info.id.incarnation;
-  At(clock_.Now() + delay, [this, index, call, watch_until, delay, life] {
-    // The call takes effect also if its caller has died meanwhile.
+  const uint64_t incarnation = processes_[index]->info.id.incarnation;
+  Schedule(clock_.Now() + delay, [this, index, call, watch_until, delay,
+                                  incarnation] {
+    // The call takes effect even if the calling process has ended meanwhile.
     const PlatformReply reply = platform_.Handle(call);
-    if (processes_[index]->info.id.incarnation != life) {
+    if (processes_[index]->info.id.incarnation != incarnation) {
       return;
     }
-    const bool hold = reply.status == 304 && clock_.Now() < watch_until;
-    if (hold) {
-      In(index, clock_.Now() + kWatchPoll,
-         [this, index, call, watch_until] { Carry(index, call, watch_until); });
+    const bool keep_waiting = reply.status == 304 && clock_.Now() < watch_until;
+    if (keep_waiting) {
+      ScheduleIn(index, clock_.Now() + kWatchPoll,
+                 [this, index, call, watch_until] {
+                   Execute(index, call, watch_until);
+                 });
       return;
     }
-    // A slow platform takes the write, but its answer comes too late.
+    // A slow platform executes the call, but its answer arrives after the
+    // caller's timeout.
     const bool late = 2 * delay > kCallTimeout && !call.wait_ms.has_value();
-    In(index, clock_.Now() + delay, [this, index, call, reply, late] {
+    ScheduleIn(index, clock_.Now() + delay, [this, index, call, reply, late] {
       ReplyToPlatformCall(index, call.call, late ? PlatformReply() : reply);
     });
   });
 }
 
-void World::ReplyToPlatformCall(size_t index,
-                                PlatformCallId call,
-                                const PlatformReply& reply) {
+void Simulation::ReplyToPlatformCall(size_t index,
+                                     PlatformCallId call,
+                                     const PlatformReply& reply) {
   Process& process = *processes_[index];
   if (process.entry) {
     process.entry->OnPlatformReply(call, reply);
@@ -587,19 +604,20 @@
   }
 }
 
-void World::CarryServer(size_t index, const Action& action) {
+void Simulation::ExecuteServerAction(size_t index, const Action& action) {
   Process& process = *processes_[index];
   fakes::EngineCore& engine = *engines_[index - options_.entries];
   const bool down = clock_.Now() < engine_up_at_[index - options_.entries];
   const auto* started = std::get_if<ServerStart>(&action);
   const auto* resumed = std::get_if<ServerResume>(&action);
   if (down && (started != nullptr || resumed != nullptr)) {
-    TellServerEnd(index, started != nullptr ? started->run : resumed->run,
-                  ServerEnd::kUnreachable);
+    ScheduleServerDisconnect(index,
+                             started != nullptr ? started->run : resumed->run,
+                             ServerDisconnect::kUnreachable);
     return;
   }
   if (resumed != nullptr && engine.Find(resumed->request_id) == nullptr) {
-    TellServerEnd(index, resumed->run, ServerEnd::kRefused);
+    ScheduleServerDisconnect(index, resumed->run, ServerDisconnect::kRefused);
     return;
   }
   if (const auto* start = std::get_if<ServerStart>(&action)) {
@@ -614,19 +632,19 @@
   } else if (const auto* cancel = std::get_if<ServerCancel>(&action)) {
     process.streams.erase(cancel->run);
     engine.Cancel(cancel->request_id);
-    In(index, clock_.Now() + Delay(), [this, index, run = cancel->run] {
+    ScheduleIn(index, clock_.Now() + Delay(), [this, index, run = cancel->run] {
       processes_[index]->agent->gate().server().OnServerCancelled(run);
     });
   }
 }
 
-void World::FeedStreams(size_t index) {
+void Simulation::DeliverStreamEvents(size_t index) {
   Process& process = *processes_[index];
   const fakes::EngineCore& engine = *engines_[index - options_.entries];
   std::vector<RunId> ended;
   for (auto& [run, stream] : process.streams) {
     const fakes::EngineCore::Stream* source = engine.Find(stream.request_id);
-    if (stream.silent || source == nullptr) {
+    if (stream.stalled || source == nullptr) {
       continue;
     }
     for (; stream.next < source->events.size(); ++stream.next) {
@@ -646,28 +664,28 @@
   }
 }
 
-void World::BreakServerStreams(size_t agent, bool silently) {
+void Simulation::BreakServerStreams(size_t agent, bool silently) {
   const size_t index = options_.entries + agent;
   Process& process = *processes_[index];
   if (!process.alive) {
     return;
   }
   for (auto& [run, stream] : process.streams) {
-    stream.silent = true;
+    stream.stalled = true;
     if (!silently) {
-      In(index, clock_.Now(), [this, index, id = run] {
-        processes_[index]->agent->gate().server().OnServerEnd(
-            id, ServerEnd::kBroken);
+      ScheduleIn(index, clock_.Now(), [this, index, id = run] {
+        processes_[index]->agent->gate().server().OnServerDisconnect(
+            id, ServerDisconnect::kBroken);
       });
     }
   }
 }
 
-std::string World::NewKey() {
+std::string Simulation::NewKey() {
   return RequestKey::Mint(clock_.WallNow(), random_).ToString();
 }
 
-CallerRequest World::MakeRequest(const std::string& key) const {
+CallerRequest Simulation::MakeRequest(const std::string& key) const {
   CallerRequest request;
   request.method = "POST";
   request.path = "/v1/completions";
@@ -676,12 +694,12 @@
   return request;
 }
 
-CallerId World::Submit(size_t index,
-                       const std::string& key,
-                       const std::string& word,
-                       bool repeatable,
-                       uint32_t tokens,
-                       std::optional<int64_t> deadline_ms) {
+CallerId Simulation::Submit(size_t index,
+                            const std::string& key,
+                            const std::string& word,
+                            bool repeatable,
+                            uint32_t tokens,
+                            std::optional<int64_t> deadline_ms) {
   const CallerId caller = ++last_caller_;
   if (!alive(index)) {
     return caller;
@@ -698,16 +716,16 @@
                                    {"max_tokens", tokens},
                                    {"stream", HashBytes(word) % 2 == 0}});
   oracle_.OnSubmit(caller, word, repeatable, tokens);
-  caller_at_[caller] = index;
-  In(index, clock_.Now() + Delay(), [this, index, request] {
+  process_by_caller_[caller] = index;
+  ScheduleIn(index, clock_.Now() + Delay(), [this, index, request] {
     processes_[index]->entry->OnCallerRequest(request);
   });
   return caller;
 }
 
-CallerId World::Read(size_t index,
-                     const std::string& key,
-                     const std::string& word) {
+CallerId Simulation::Read(size_t index,
+                          const std::string& key,
+                          const std::string& word) {
   const CallerId caller = ++last_caller_;
   if (!alive(index)) {
     return caller;
@@ -717,52 +735,52 @@
   request.method = "GET";
   request.path = "/v1/requests/" + key;
   oracle_.OnRead(caller, word);
-  caller_at_[caller] = index;
-  In(index, clock_.Now() + Delay(), [this, index, request] {
+  process_by_caller_[caller] = index;
+  ScheduleIn(index, clock_.Now() + Delay(), [this, index, request] {
     processes_[index]->entry->OnCallerRequest(request);
   });
   return caller;
 }
 
-void World::Delete(size_t index, const std::string& key) {
+void Simulation::Delete(size_t index, const std::string& key) {
   if (!alive(index)) {
     return;
   }
   CallerRequest request = MakeRequest(key);
   request.method = "DELETE";
   request.path = "/v1/requests/" + key;
-  SendOperator(index, request);
+  SendOperatorRequest(index, request);
 }
 
-CallerId World::SendOperator(size_t index, CallerRequest request) {
+CallerId Simulation::SendOperatorRequest(size_t index, CallerRequest request) {
   const CallerId caller = ++last_caller_;
   request.caller = caller;
   if (!alive(index)) {
     return caller;
   }
   operator_replies_[caller] = 0;
-  In(index, clock_.Now() + Delay(), [this, index, request] {
+  ScheduleIn(index, clock_.Now() + Delay(), [this, index, request] {
     processes_[index]->entry->OnCallerRequest(request);
   });
   return caller;
 }
 
-CallerId World::Apply(size_t index, const std::string& marker) {
+CallerId Simulation::Apply(size_t index, const std::string& marker) {
   CallerRequest request;
   request.method = "POST";
   request.path = "/admin/v1/config";
   request.bearer = kOperatorKey;
   request.body = ConfigText(marker);
-  return SendOperator(index, request);
+  return SendOperatorRequest(index, request);
 }
 
-CallerId World::UsePreset(size_t index, const std::string& preset) {
+CallerId Simulation::UsePreset(size_t index, const std::string& preset) {
   CallerRequest request;
   request.method = "POST";
   request.path = "/admin/v1/preset";
   request.bearer = kOperatorKey;
   request.body = json::serialize(json::object{{"name", preset}});
-  return SendOperator(index, request);
+  return SendOperatorRequest(index, request);
 }
 
 }  // namespace lavenderkeel::fuzz
--- a/test/http/event_stream_test.cc
+++ b/test/http/event_stream_test.cc
@@ -6,9 +6,10 @@
 
 namespace lavenderkeel {
 
-// A server stops in the middle of an event. The client has whole events only,
-// so that the run which goes on elsewhere fits on behind the last of them.
-BOOST_AUTO_TEST_CASE(OnlyWholeEventsComeOut) {
+// Guards against forwarding a part of an event when a server stops in the
+// middle of it: a run that is resumed on another server must continue after the
+// last complete event.
+BOOST_AUTO_TEST_CASE(OnlyCompleteEventsAreReturned) {
   EventStreamReader reader;
   reader.Feed("id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\nda");
   const auto first = reader.Next();
@@ -19,10 +20,10 @@
   BOOST_TEST(first->bytes == "id: 1\ndata: a\n\n");
   BOOST_TEST(second->id == "2");
   BOOST_TEST(!reader.Next().has_value());
-  BOOST_TEST(reader.has_part());
+  BOOST_TEST(reader.has_incomplete_event());
 }
 
-BOOST_AUTO_TEST_CASE(CutsOfAStreamDoNotMatter) {
+BOOST_AUTO_TEST_CASE(EventsDoNotDependOnHowBytesAreSplit) {
   rc::check([] {
     std::string stream;
     const int count = *rc::gen::inRange(0, 20);
@@ -45,7 +46,7 @@
     }
     RC_ASSERT(last == count);
     RC_ASSERT(passed == whole);
-    RC_ASSERT(!reader.has_part());
+    RC_ASSERT(!reader.has_incomplete_event());
   });
 }
 
--- a/test/io/settings_test.cc
+++ b/test/io/settings_test.cc
@@ -4,7 +4,7 @@
 
 namespace lavenderkeel {
 
-BOOST_AUTO_TEST_CASE(FaultsOfSettingsAreNamedWithTheirPath) {
+BOOST_AUTO_TEST_CASE(FaultsOfSettingsNameTheirPath) {
   const auto parsed = Catch([] {
     return ParseEntrySettings(R"({
       "instance": "", "listen": {"callers": "localhost:80"},
@@ -22,7 +22,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ServiceNeedsAName) {
+BOOST_AUTO_TEST_CASE(ServiceWithoutNameIsRejected) {
   const auto parsed = Catch([] {
     return ParseAgentSettings(R"({"instance": "a", "data_centre": "d",
       "listen": {"peers": "127.0.0.1:0"},
--- a/test/process/relay.cc
+++ b/test/process/relay.cc
@@ -12,12 +12,13 @@
 
 namespace lavenderkeel::test {
 
-struct Relay::Pair {
-  ~Pair() {
+/// An accepted connection (`in`) and the connection to the target (`out`).
+struct Relay::ConnectionPair {
+  ~ConnectionPair() {
     bufferevent_free(in);
     bufferevent_free(out);
   }
-  struct Held {
+  struct QueuedBytes {
     TimePoint due;
     bool to_target = false;
     std::string bytes;
@@ -27,12 +28,13 @@
   bufferevent* in = nullptr;
   bufferevent* out = nullptr;
   bool closed = false;
-  /// One end closed in order; the other is closed once it has all bytes.
-  bool ending = false;
-  std::deque<Held> held;
+  /// Whether one end has sent EOF. Both connections are closed once all bytes
+  /// have been sent.
+  bool half_closed = false;
+  std::deque<QueuedBytes> queued;
 
   bool Drained() const {
-    return held.empty() &&
+    return queued.empty() &&
            evbuffer_get_length(bufferevent_get_output(in)) == 0 &&
            evbuffer_get_length(bufferevent_get_output(out)) == 0;
   }
@@ -73,7 +75,7 @@
     evutil_closesocket(socket);
     return;
   }
-  auto pair = std::make_unique<Pair>();
+  auto pair = std::make_unique<ConnectionPair>();
   pair->in =
       bufferevent_socket_new(loop_.base(), socket, BEV_OPT_CLOSE_ON_FREE);
   pair->out = bufferevent_socket_new(loop_.base(), -1, BEV_OPT_CLOSE_ON_FREE);
@@ -83,18 +85,18 @@
                              length);
   pair->relay = this;
   const auto forward = [](bufferevent* from, void* arg) {
-    auto* self = static_cast<Pair*>(arg);
+    auto* self = static_cast<ConnectionPair*>(arg);
     self->relay->Forward(*self, /*to_target=*/from == self->in);
   };
   const auto ended = [](bufferevent*, short what, void* arg) {
-    auto* self = static_cast<Pair*>(arg);
+    auto* self = static_cast<ConnectionPair*>(arg);
     if (self->closed) {
       return;
     }
     if ((what & BEV_EVENT_ERROR) != 0) {
       self->Close();
     } else if ((what & BEV_EVENT_EOF) != 0) {
-      self->ending = true;
+      self->half_closed = true;
     }
   };
   for (bufferevent* end : {pair->in, pair->out}) {
@@ -104,13 +106,13 @@
   pairs_.push_back(std::move(pair));
 }
 
-void Relay::Forward(Pair& pair, bool to_target) {
+void Relay::Forward(ConnectionPair& pair, bool to_target) {
   evbuffer* input = bufferevent_get_input(to_target ? pair.in : pair.out);
   std::string bytes(evbuffer_get_length(input), '\0');
   evbuffer_remove(input, bytes.data(), bytes.size());
-  pair.held.push_back({.due = clock_.Now() + delay_,
-                       .to_target = to_target,
-                       .bytes = std::move(bytes)});
+  pair.queued.push_back({.due = clock_.Now() + delay_,
+                         .to_target = to_target,
+                         .bytes = std::move(bytes)});
   if (delay_ == Duration::zero()) {
     Flush();
   }
@@ -119,33 +121,34 @@
 void Relay::Flush() {
   const TimePoint now = clock_.Now();
   for (const auto& pair : pairs_) {
-    std::deque<Pair::Held> left;
-    for (Pair::Held& held : pair->held) {
-      const bool stays =
-          held.due > now || (held.to_target ? hold_to_ : hold_from_);
+    std::deque<ConnectionPair::QueuedBytes> remaining;
+    for (ConnectionPair::QueuedBytes& queued : pair->queued) {
+      const bool is_held =
+          queued.due > now ||
+          (queued.to_target ? to_target_blocked_ : from_target_blocked_);
       if (pair->closed) {
         continue;
       }
-      if (stays) {
-        left.push_back(std::move(held));
+      if (is_held) {
+        remaining.push_back(std::move(queued));
         continue;
       }
-      bufferevent_write(held.to_target ? pair->out : pair->in,
-                        held.bytes.data(), held.bytes.size());
+      bufferevent_write(queued.to_target ? pair->out : pair->in,
+                        queued.bytes.data(), queued.bytes.size());
     }
-    pair->held.swap(left);
-    if (pair->ending && !pair->closed && pair->Drained()) {
+    pair->queued.swap(remaining);
+    if (pair->half_closed && !pair->closed && pair->Drained()) {
       pair->Close();
     }
   }
 }
 
-void Relay::Hold(bool to_target, bool from_target) {
-  hold_to_ = to_target;
-  hold_from_ = from_target;
+void Relay::SetBlocked(bool to_target, bool from_target) {
+  to_target_blocked_ = to_target;
+  from_target_blocked_ = from_target;
 }
 
-void Relay::ResetOpen() {
+void Relay::ResetOpenConnections() {
   constexpr linger kReset = {.l_onoff = 1, .l_linger = 0};
   for (const auto& pair : pairs_) {
     if (pair->closed) {
@@ -159,7 +162,7 @@
   }
 }
 
-void Relay::ForgetOpen() {
+void Relay::StallOpenConnections() {
   for (const auto& pair : pairs_) {
     if (!pair->closed) {
       bufferevent_disable(pair->in, EV_READ | EV_WRITE);
--- a/test/rollout/version_comparison_test.cc
+++ b/test/rollout/version_comparison_test.cc
@@ -15,7 +15,8 @@
   return comparison;
 }
 
-/// Answers of the canary at four servers in turn, one in so many bad.
+/// Adds answers of the canary at four servers in rotation, one in `bad_each` of
+/// them bad.
 void AddCanary(VersionComparison& comparison, int answers, int bad_each) {
   constexpr uint64_t kServers = 4;
   for (int i = 1; i <= answers; ++i) {
@@ -27,27 +28,30 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(EqualVersionsAreNotToldApart) {
+// Guards against rejecting, by chance, a version that fails as often as the
+// baseline.
+BOOST_AUTO_TEST_CASE(EqualVersionsAreNotWorse) {
   VersionComparison comparison = WithBaseline(1000, 50);
   AddCanary(comparison, 300, 20);
   BOOST_TEST(!comparison.worse());
 }
 
+// Guards against missing a version that fails more often than the baseline.
 BOOST_AUTO_TEST_CASE(VersionThatFailsMoreOftenIsFound) {
   VersionComparison comparison = WithBaseline(1000, 50);
   AddCanary(comparison, 100, 3);
   BOOST_TEST(comparison.worse());
 }
 
-// A version that turns bad late hides behind its good beginning.
-BOOST_AUTO_TEST_CASE(VersionThatTurnsBadIsFoundAsSoon) {
+// Guards against missing a version that becomes bad after many good answers.
+BOOST_AUTO_TEST_CASE(VersionThatBecomesBadLaterIsFound) {
   VersionComparison comparison = WithBaseline(1000, 10);
   AddCanary(comparison, 2000, 0);
   AddCanary(comparison, 60, 3);
   BOOST_TEST(comparison.worse());
 }
 
-// One bad server is taken for a bad version.
+// Guards against rejecting a version because of one bad server.
 BOOST_AUTO_TEST_CASE(FailuresOfOneServerDoNotBlameTheVersion) {
   VersionComparison comparison = WithBaseline(1000, 10);
   AddCanary(comparison, 200, 0);
@@ -55,7 +59,8 @@
   BOOST_TEST(!comparison.worse());
 }
 
-// A crash ends all requests of a server at once.
+// Guards against rejecting a version because of a crash, which ends all
+// requests of a server at once.
 BOOST_AUTO_TEST_CASE(LostConnectionsOfACrashDoNotBlameTheVersion) {
   VersionComparison comparison = WithBaseline(1000, 10);
   AddCanary(comparison, 50, 0);
@@ -65,8 +70,9 @@
   BOOST_TEST(!comparison.in_doubt());
 }
 
-// Failures of a kind of request that fails by itself.
-BOOST_AUTO_TEST_CASE(LittleIsSaidBeforeTheOldVersionIsKnown) {
+// Guards against rejecting a version because of a route whose requests also
+// fail at the baseline, before the baseline has samples.
+BOOST_AUTO_TEST_CASE(NoVerdictBeforeTheBaselineHasSamples) {
   VersionComparison comparison;
   AddCanary(comparison, 20, 5);
   BOOST_TEST(!comparison.worse());
