--- a/test/forward/usage_relay_test.cc
+++ b/test/forward/usage_relay_test.cc
@@ -23,7 +23,7 @@
 
 BOOST_AUTO_TEST_CASE(EntryGetsOnlyUsageOfOthers) {
   UsageRelay relay;
-  relay.OnTotals(kFirst, {}, /*passes_on=*/true);
+  relay.OnTotals(kFirst, {}, /*is_relay=*/true);
   relay.OnTotals(kSecond, {}, true);
   relay.OnTotals(kFirst, {{kTeam, 30}}, true);
   relay.OnTotals(kSecond, {{kTeam, 5}}, true);
