--- a/lavenderkeel/config.h
+++ b/lavenderkeel/config.h
@@ -1,4 +1,4 @@
-// Module config: the configuration document, its commit and its spread.
+// Module config: the configuration document, its commit and its distribution.
 #ifndef LAVENDERKEEL_CONFIG_H_
 #define LAVENDERKEEL_CONFIG_H_
 
--- a/lavenderkeel/config/config.h
+++ b/lavenderkeel/config/config.h
@@ -13,7 +13,7 @@
 
 namespace lavenderkeel {
 
-/// A class of urgency. Rank 0 is served first.
+/// Priority class. Rank 0 is served first.
 struct Tier {
   std::string name;
   uint32_t rank = 0;
@@ -25,7 +25,7 @@
   friend bool operator==(const Tier&, const Tier&) = default;
 };
 
-/// A kind of request, named by the caller in `Lavenderkeel-Work`.
+/// Kind of request, named by the caller in `Lavenderkeel-Work`.
 struct WorkClass {
   std::string name;
   std::string tier;
@@ -34,7 +34,7 @@
   friend bool operator==(const WorkClass&, const WorkClass&) = default;
 };
 
-/// Bounds per entry; 0 stands for "no bound".
+/// Limits per entry; 0 means no limit.
 struct TeamLimits {
   uint32_t running = 0;
   uint32_t waiting = 0;
@@ -54,7 +54,7 @@
   friend bool operator==(const Team&, const Team&) = default;
 };
 
-/// A preset's bounds for one tier; 0 stands for "no bound".
+/// Limits of a preset for one tier; 0 means no limit.
 struct TierLimits {
   /// In flight at each backend server.
   uint32_t running = 0;
@@ -72,13 +72,13 @@
   friend bool operator==(const Preset&, const Preset&) = default;
 };
 
-/// The document without its teams, which are kept in shards of their own.
+/// Configuration document without its teams, which are kept in separate shards.
 struct ConfigBase {
   std::vector<Tier> tiers;
   std::vector<WorkClass> work;
   std::vector<Preset> presets;
   std::string initial_preset;
-  /// Models that requests may name; empty: any.
+  /// Models that requests may name; if empty, any.
   std::vector<std::string> models;
 
   friend bool operator==(const ConfigBase&, const ConfigBase&) = default;
@@ -86,7 +86,7 @@
 
 using TeamList = std::vector<Team>;
 
-/// A configuration in force: immutable, shared by whoever uses it.
+/// Configuration in force; immutable and shared by its users.
 class Config {
  public:
   Config(ConfigHead head,
@@ -100,7 +100,7 @@
 
   const Team* FindTeamByKeyHash(const std::string& key_sha256) const;
   const WorkClass* FindWork(std::string_view name) const;
-  /// The tier of a work class; documents are validated, so it exists.
+  /// Returns the tier of a work class; documents are validated, so it exists.
   const Tier& TierOf(const WorkClass& work) const;
   const Preset* FindPreset(std::string_view name) const;
   /// The preset in force.
--- a/lavenderkeel/config/config_commit.cc
+++ b/lavenderkeel/config/config_commit.cc
@@ -33,19 +33,19 @@
   }
   const TimePoint now = clock_.Now();
   if (now >= deadline_) {
-    // Nothing may turn "unknown" into "not accepted": a write without an
-    // answer can take effect after we stop asking.
-    Finish(in_doubt_ || writing_ ? ResultCode::kConfigUnknown
-                                 : ResultCode::kConfigNotAccepted,
+    // "Unknown" must never be reported as "not accepted": a write without an
+    // answer can take effect after this commit has ended.
+    Finish(in_doubt_ || head_write_pending_ ? ResultCode::kConfigUnknown
+                                            : ResultCode::kConfigNotAccepted,
            "the platform did not answer in time");
     return;
   }
-  if (retry_ && now >= retry_at_) {
-    std::exchange(retry_, nullptr)();
+  if (pending_retry_ && now >= retry_at_) {
+    std::exchange(pending_retry_, nullptr)();
   }
 }
 
-PlatformPort::Handler ConfigCommit::Guard(
+PlatformPort::Handler ConfigCommit::GuardedHandler(
     void (ConfigCommit::*step)(const PlatformReply&)) {
   return [this, step,
           alive = std::weak_ptr<bool>(alive_)](const PlatformReply& reply) {
@@ -56,27 +56,27 @@
 }
 
 void ConfigCommit::ReadHead() {
-  port_.Call(ReadObject(kHeadObject), Guard(&ConfigCommit::OnHead));
+  port_.Call(ReadObject(kHeadObject), GuardedHandler(&ConfigCommit::OnHead));
 }
 
 void ConfigCommit::OnHead(const PlatformReply& reply) {
   const bool missing = reply.missing();
   if (!reply.ok() && !missing) {
-    Later([this] { ReadHead(); });
+    RetryLater([this] { ReadHead(); });
     return;
   }
   ConfigHead present;
   if (!missing) {
     const auto parsed = Catch([&] { return ConfigHead::FromJson(reply.body); });
     if (!parsed) {
-      Finish(
-          ResultCode::kConfigNotAccepted,
-          "the head at the platform is unreadable: " + parsed.failure.message);
+      Finish(ResultCode::kConfigNotAccepted,
+             "the configuration head at the platform cannot be parsed: " +
+                 parsed.failure.message);
       return;
     }
     present = *parsed.value;
   }
-  present_ = present;
+  current_head_ = present;
   head_etag_ = missing ? "*" : reply.etag;
   if (options_.if_version.has_value() &&
       *options_.if_version != present.version) {
@@ -89,12 +89,12 @@
     Finish(next.failure.code, next.failure.message);
     return;
   }
-  next_ = *next.value;
-  next_.version = present.version + 1;
-  next_.recent = present.recent;
-  next_.recent.push_back(options_.change_id);
-  if (next_.recent.size() > ConfigHead::kRecentChanges) {
-    next_.recent.erase(next_.recent.begin());
+  next_head_ = *next.value;
+  next_head_.version = present.version + 1;
+  next_head_.recent = present.recent;
+  next_head_.recent.push_back(options_.change_id);
+  if (next_head_.recent.size() > ConfigHead::kRecentChanges) {
+    next_head_.recent.erase(next_head_.recent.begin());
   }
   WriteShards();
 }
@@ -127,11 +127,12 @@
     return;
   }
   if (reply.status == kTooLargeStatus) {
-    Finish(ResultCode::kConfigNotAccepted, "a shard exceeds a megabyte");
+    Finish(ResultCode::kConfigNotAccepted,
+           "a configuration shard exceeds one megabyte");
     return;
   }
   const ConfigShard& shard = options_.shards[index];
-  Later([this, index, &shard] {
+  RetryLater([this, index, &shard] {
     port_.Call(WriteObject(kShardPrefix + shard.name, shard.body, "*"),
                [this, index, alive = std::weak_ptr<bool>(alive_)](
                    const PlatformReply& again) {
@@ -143,31 +144,32 @@
 }
 
 void ConfigCommit::WriteHead() {
-  writing_ = true;
-  port_.Call(WriteObject(kHeadObject, next_.ToJson(), head_etag_),
-             Guard(&ConfigCommit::OnHeadWritten));
+  head_write_pending_ = true;
+  port_.Call(WriteObject(kHeadObject, next_head_.ToJson(), head_etag_),
+             GuardedHandler(&ConfigCommit::OnHeadWritten));
 }
 
 void ConfigCommit::OnHeadWritten(const PlatformReply& reply) {
-  writing_ = false;
+  head_write_pending_ = false;
   if (reply.ok()) {
     Finish(ResultCode::kAnswered, "accepted");
     return;
   }
   if (reply.precondition_failed() || in_doubt_) {
-    // Failure: the answer to an earlier try was lost after the write took
-    // effect. Symptom: 412 for our own change, and the operator is told that
-    // somebody else was first. The ring of change ids tells the two apart.
+    // The answer to an earlier attempt may have been lost after the write took
+    // effect. The 412 is then due to this very change, and the operator must
+    // not be told that another change came first. The change ids in the head
+    // tell the two cases apart.
     Confirm();
     return;
   }
   if (reply.status == PlatformReply::kNoAnswer) {
     in_doubt_ = true;
-    Later([this] { Confirm(); });
+    RetryLater([this] { Confirm(); });
     return;
   }
   if (reply.refused()) {
-    Later([this] { WriteHead(); });
+    RetryLater([this] { WriteHead(); });
     return;
   }
   Finish(ResultCode::kConfigNotAccepted,
@@ -175,63 +177,64 @@
 }
 
 void ConfigCommit::Confirm() {
-  port_.Call(ReadObject(kHeadObject), Guard(&ConfigCommit::OnConfirm));
+  port_.Call(ReadObject(kHeadObject), GuardedHandler(&ConfigCommit::OnConfirm));
 }
 
 void ConfigCommit::OnConfirm(const PlatformReply& reply) {
   const bool missing = reply.missing();
   if (!reply.ok() && !missing) {
-    Later([this] { Confirm(); });
+    RetryLater([this] { Confirm(); });
     return;
   }
-  ConfigHead seen;
+  ConfigHead read_head;
   if (!missing) {
     const auto parsed = Catch([&] { return ConfigHead::FromJson(reply.body); });
     if (!parsed) {
-      Later([this] { Confirm(); });
+      RetryLater([this] { Confirm(); });
       return;
     }
-    seen = *parsed.value;
+    read_head = *parsed.value;
   }
-  if (seen.Contains(options_.change_id)) {
+  if (read_head.ContainsChange(options_.change_id)) {
     Finish(ResultCode::kAnswered, "accepted");
     return;
   }
-  if (seen.version == present_->version) {
-    // Not there yet. The same conditional write again is safe: whichever try
-    // arrives first makes the others fail.
+  if (read_head.version == current_head_->version) {
+    // The change is not there yet. Repeating the same conditional write is
+    // safe: whichever attempt arrives first makes the others fail.
     WriteHead();
     return;
   }
-  if (in_doubt_ &&
-      seen.version - present_->version >= ConfigHead::kRecentChanges) {
+  if (in_doubt_ && read_head.version - current_head_->version >=
+                       ConfigHead::kRecentChanges) {
     Finish(ResultCode::kConfigUnknown,
-           "too many changes came since to say whether ours was among them");
+           "too many later changes to determine whether this one was accepted");
     return;
   }
-  present_ = seen;
+  current_head_ = read_head;
   Finish(ResultCode::kConfigConflict,
-         "version " + std::to_string(seen.version) + " came first, preset '" +
-             seen.preset + "'");
+         "version " + std::to_string(read_head.version) +
+             " was accepted first, with preset '" + read_head.preset + "'");
 }
 
-void ConfigCommit::Later(std::function<void()> step) {
-  // Shards retry side by side; what waits already is kept in front.
-  if (retry_) {
-    step = [first = std::move(retry_), then = std::move(step)] {
+void ConfigCommit::RetryLater(std::function<void()> step) {
+  // Shards are retried concurrently; steps that wait already run first.
+  if (pending_retry_) {
+    step = [first = std::move(pending_retry_), then = std::move(step)] {
       first();
       then();
     };
   }
-  retry_ = std::move(step);
+  pending_retry_ = std::move(step);
   retry_at_ = clock_.Now() + backoff_.Next(random_);
 }
 
 void ConfigCommit::Finish(ResultCode code, std::string message) {
   finished_ = true;
-  const Result result{.code = code,
-                      .message = std::move(message),
-                      .head = code == ResultCode::kAnswered ? next_ : present_};
+  const Result result{
+      .code = code,
+      .message = std::move(message),
+      .head = code == ResultCode::kAnswered ? next_head_ : current_head_};
   done_(result);
 }
 
--- a/lavenderkeel/config/config_commit.h
+++ b/lavenderkeel/config/config_commit.h
@@ -16,7 +16,8 @@
 
 namespace lavenderkeel {
 
-/// One operator's change, from the read of the head to a certain answer.
+/// Commit of one operator change, from the read of the head to a definite
+/// result.
 ///
 /// Shards are written first; the conditional update of the head is the commit.
 class ConfigCommit {
@@ -30,17 +31,17 @@
     std::optional<ConfigHead> head;
   };
   using Done = std::function<void(const Result&)>;
-  /// Computes the next head from the present one; a Failure refuses it.
+  /// Computes the next head from the present one; a Failure rejects the change.
   using Change =
       std::function<leaf::result<ConfigHead>(const ConfigHead& present)>;
 
   struct Options {
-    /// Names the change in the head; unique.
+    /// Unique id of the change in the head.
     std::string change_id;
     Change change;
     /// Shards that the new head names.
     std::vector<ConfigShard> shards;
-    /// Accept only if this version is in force.
+    /// Accept the change only if this version is in force.
     std::optional<uint64_t> if_version;
     Duration timeout = std::chrono::seconds(10);
     Backoff::Options retry = {.first = std::chrono::milliseconds(50),
@@ -67,9 +68,10 @@
   void OnHeadWritten(const PlatformReply& reply);
   void Confirm();
   void OnConfirm(const PlatformReply& reply);
-  void Later(std::function<void()> step);
+  void RetryLater(std::function<void()> step);
   void Finish(ResultCode code, std::string message);
-  PlatformPort::Handler Guard(void (ConfigCommit::*step)(const PlatformReply&));
+  PlatformPort::Handler GuardedHandler(
+      void (ConfigCommit::*step)(const PlatformReply&));
 
   Options options_;
   const Clock& clock_;
@@ -79,17 +81,17 @@
   Backoff backoff_;
   TimePoint deadline_;
   TimePoint retry_at_;
-  std::function<void()> retry_;
-  std::optional<ConfigHead> present_;
-  ConfigHead next_;
+  std::function<void()> pending_retry_;
+  std::optional<ConfigHead> current_head_;
+  ConfigHead next_head_;
   std::string head_etag_;
   size_t shards_left_ = 0;
   /// A write of the head got no answer: it may still take effect.
   bool in_doubt_ = false;
-  /// A write of the head is on its way.
-  bool writing_ = false;
+  /// A write of the head is pending.
+  bool head_write_pending_ = false;
   bool finished_ = false;
-  /// Replies that come after this object is gone must not reach it.
+  /// Expires with this object, so that later replies do not reach it.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/lavenderkeel/config/config_head.cc
+++ b/lavenderkeel/config/config_head.cc
@@ -9,11 +9,11 @@
 
 namespace json = boost::json;
 
-bool ConfigHead::Contains(const std::string& change_id) const {
+bool ConfigHead::ContainsChange(const std::string& change_id) const {
   return std::ranges::find(recent, change_id) != recent.end();
 }
 
-std::vector<std::string> ConfigHead::Shards() const {
+std::vector<std::string> ConfigHead::ShardNames() const {
   std::vector<std::string> names = teams;
   names.push_back(base);
   return names;
--- a/lavenderkeel/config/config_head.h
+++ b/lavenderkeel/config/config_head.h
@@ -9,16 +9,16 @@
 
 namespace lavenderkeel {
 
-/// The object at the platform whose conditional update is the commit.
+/// Object at the platform whose conditional update is the commit.
 inline constexpr char kHeadObject[] = "lavenderkeel/head";
 inline constexpr char kShardPrefix[] = "lavenderkeel/shards/";
 
-/// The single object that says which configuration and preset are in force.
+/// The single object that states which configuration and preset are in force.
 struct ConfigHead {
-  /// How many changes `recent` remembers.
+  /// Number of change ids kept in `recent`.
   static constexpr size_t kRecentChanges = 64;
 
-  /// Grows by one with each accepted change.
+  /// Incremented by each accepted change.
   uint64_t version = 0;
   std::string preset;
   /// Content name of the shard without teams.
@@ -27,13 +27,13 @@
   std::vector<std::string> teams;
   /// Instances that an operator drained.
   std::vector<std::string> drained;
-  /// Change ids, newest last. After a lost answer they say whether the change
-  /// was accepted, also if others followed it.
+  /// Change ids, newest last. After a lost answer they show whether the change
+  /// was accepted, even if others followed.
   std::vector<std::string> recent;
 
-  bool Contains(const std::string& change_id) const;
-  /// The names of all shards.
-  std::vector<std::string> Shards() const;
+  bool ContainsChange(const std::string& change_id) const;
+  /// Returns the content names of all shards.
+  std::vector<std::string> ShardNames() const;
   std::string ToJson() const;
   static leaf::result<ConfigHead> FromJson(const std::string& text);
 
--- a/lavenderkeel/config/config_parser.cc
+++ b/lavenderkeel/config/config_parser.cc
@@ -14,7 +14,7 @@
 
 using Names = std::set<std::string>;
 
-std::string At(const char* list, size_t index, const char* field) {
+std::string FieldPath(const char* list, size_t index, const char* field) {
   return std::string("/") + list + "/" + std::to_string(index) + "/" + field;
 }
 
@@ -23,7 +23,7 @@
                  Names& seen,
                  Faults& faults) {
   if (!value.empty() && !seen.insert(value).second) {
-    faults.push_back(path + ": '" + value + "' stands twice");
+    faults.push_back(path + ": '" + value + "' is listed more than once");
   }
 }
 
@@ -32,7 +32,7 @@
                 const std::string& path,
                 Faults& faults) {
   if (!value.empty() && !known.contains(value)) {
-    faults.push_back(path + ": there is no '" + value + "'");
+    faults.push_back(path + ": '" + value + "' is not defined");
   }
 }
 
@@ -40,12 +40,12 @@
   Names names;
   Names ranks;
   for (size_t i = 0; i < tiers.size(); ++i) {
-    CheckUnique(tiers[i].name, At("tiers", i, "name"), names, faults);
-    CheckUnique(std::to_string(tiers[i].rank), At("tiers", i, "rank"), ranks,
-                faults);
+    CheckUnique(tiers[i].name, FieldPath("tiers", i, "name"), names, faults);
+    CheckUnique(std::to_string(tiers[i].rank), FieldPath("tiers", i, "rank"),
+                ranks, faults);
   }
   if (tiers.empty()) {
-    faults.emplace_back("/tiers: at least one tier is needed");
+    faults.emplace_back("/tiers: at least one tier is required");
   }
   return names;
 }
@@ -55,8 +55,8 @@
                 Faults& faults) {
   Names names;
   for (size_t i = 0; i < work.size(); ++i) {
-    CheckUnique(work[i].name, At("work", i, "name"), names, faults);
-    CheckKnown(work[i].tier, tiers, At("work", i, "tier"), faults);
+    CheckUnique(work[i].name, FieldPath("work", i, "name"), names, faults);
+    CheckKnown(work[i].tier, tiers, FieldPath("work", i, "tier"), faults);
   }
   return names;
 }
@@ -65,13 +65,15 @@
   Names names;
   for (size_t i = 0; i < base.presets.size(); ++i) {
     const Preset& preset = base.presets[i];
-    CheckUnique(preset.name, At("presets", i, "name"), names, faults);
+    CheckUnique(preset.name, FieldPath("presets", i, "name"), names, faults);
     for (size_t j = 0; j < preset.closed_tiers.size(); ++j) {
       CheckKnown(preset.closed_tiers[j], tiers,
-                 At("presets", i, "closed_tiers/") + std::to_string(j), faults);
+                 FieldPath("presets", i, "closed_tiers/") + std::to_string(j),
+                 faults);
     }
     for (const auto& [tier, limits] : preset.limits) {
-      CheckKnown(tier, tiers, At("presets", i, "limits/") + tier, faults);
+      CheckKnown(tier, tiers, FieldPath("presets", i, "limits/") + tier,
+                 faults);
     }
   }
   CheckKnown(base.initial_preset, names, "/initial_preset", faults);
@@ -81,12 +83,12 @@
   Names names;
   Names keys;
   for (size_t i = 0; i < teams.size(); ++i) {
-    CheckUnique(teams[i].name, At("teams", i, "name"), names, faults);
-    CheckUnique(teams[i].key_sha256, At("teams", i, "key_sha256"), keys,
+    CheckUnique(teams[i].name, FieldPath("teams", i, "name"), names, faults);
+    CheckUnique(teams[i].key_sha256, FieldPath("teams", i, "key_sha256"), keys,
                 faults);
     for (size_t j = 0; j < teams[i].work.size(); ++j) {
       CheckKnown(teams[i].work[j], work,
-                 At("teams", i, "work/") + std::to_string(j), faults);
+                 FieldPath("teams", i, "work/") + std::to_string(j), faults);
     }
   }
 }
--- a/lavenderkeel/config/config_parser.h
+++ b/lavenderkeel/config/config_parser.h
@@ -8,7 +8,7 @@
 
 namespace lavenderkeel {
 
-/// A configuration document as the operator writes it.
+/// Configuration document as written by the operator.
 struct ConfigDocument {
   ConfigBase base;
   TeamList teams;
@@ -22,7 +22,7 @@
 /// @return kMalformedJson, or kConfigInvalid with every fault and its path
 leaf::result<ConfigDocument> ParseConfigDocument(const std::string& text);
 
-/// The whole document as JSON.
+/// Serialises the whole document as JSON.
 std::string ToJson(const ConfigDocument& document);
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/config/config_shards.h
+++ b/lavenderkeel/config/config_shards.h
@@ -11,7 +11,7 @@
 
 namespace lavenderkeel {
 
-/// A part of a configuration; immutable, named after its content.
+/// Immutable fragment of a configuration, named after its content.
 struct ConfigShard {
   std::string name;
   std::string body;
@@ -19,14 +19,15 @@
   friend bool operator==(const ConfigShard&, const ConfigShard&) = default;
 };
 
-/// A document cut into shards: values at the platform hold a megabyte at most,
-/// and a change to one team must not send ten thousand others again.
+/// Configuration document split into shards: a value at the platform holds a
+/// megabyte at most, and a change to one team must not resend ten thousand
+/// others.
 struct ShardedConfig {
   ConfigShard base;
   std::vector<ConfigShard> teams;
 };
 
-/// Teams in one shard, on average at most.
+/// Maximum average number of teams in a shard.
 inline constexpr size_t kTeamsPerShard = 64;
 
 std::string ContentName(const std::string& body);
--- a/lavenderkeel/config/config_spread.cc
+++ b/lavenderkeel/config/config_spread.cc
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr int kNotModifiedStatus = 304;
-/// Shards are sent on once a message holds this much.
-constexpr size_t kShardsPerMessageBytes = size_t{1} << 19;
+/// A message with shards is sent once it holds this much.
+constexpr size_t kShardMessageFlushBytes = size_t{1} << 19;
 
 }  // namespace
 
@@ -41,15 +41,16 @@
   }
   if (fetch_deadline_.has_value() && now >= *fetch_deadline_) {
     source_.reset();
-    FetchMissing();
+    FetchMissingShards();
   }
 }
 
 bool ConfigSpread::IsWatcher() const {
   std::vector<std::string> candidates = {members_.self().id.instance};
   for (const Member* member : members_.Members(Role::kEntry)) {
-    const bool near = member->info.data_centre == members_.self().data_centre;
-    if (near && member->live() && !member->info.leaving) {
+    const bool is_near =
+        member->info.data_centre == members_.self().data_centre;
+    if (is_near && member->live() && !member->info.leaving) {
       candidates.push_back(member->info.id.instance);
     }
   }
@@ -77,7 +78,7 @@
   const bool watch_again = answered && IsWatcher();
   const Duration period =
       answered ? options_.poll_period : options_.retry_period;
-  // Jitter, so that the end of an outage is no stampede of a whole fleet.
+  // Jitter spreads the reads of the whole fleet at the end of an outage.
   std::uniform_int_distribution<int64_t> jitter(0, period.count() / 2);
   const Duration wait =
       watch_again ? Duration::zero() : period + Duration(jitter(random_));
@@ -106,11 +107,11 @@
   }
   source_ = link;
   fetching_.clear();
-  FetchMissing();
+  FetchMissingShards();
 }
 
-void ConfigSpread::FetchMissing() {
-  const std::vector<std::string> missing = store_.Missing();
+void ConfigSpread::FetchMissingShards() {
+  const std::vector<std::string> missing = store_.MissingShards();
   fetch_deadline_.reset();
   if (missing.empty()) {
     return;
@@ -126,7 +127,7 @@
 }
 
 void ConfigSpread::FetchFromPlatform() {
-  for (const std::string& name : store_.Missing()) {
+  for (const std::string& name : store_.MissingShards()) {
     if (!fetching_.insert(name).second) {
       continue;
     }
@@ -161,7 +162,7 @@
     reply.names.push_back(name);
     reply.bodies.push_back(*body);
     bytes += body->size();
-    if (bytes >= kShardsPerMessageBytes) {
+    if (bytes >= kShardMessageFlushBytes) {
       outbox_.Send(link, std::exchange(reply, {}));
       bytes = 0;
     }
@@ -176,7 +177,7 @@
   for (size_t i = 0; i < count; ++i) {
     store_.AddShard(shards.names[i], shards.bodies[i]);
   }
-  if (store_.Missing().empty()) {
+  if (store_.MissingShards().empty()) {
     fetch_deadline_.reset();
   }
 }
--- a/lavenderkeel/config/config_spread.h
+++ b/lavenderkeel/config/config_spread.h
@@ -15,22 +15,25 @@
 
 namespace lavenderkeel {
 
-/// Brings the newest accepted configuration to this entry and on to others.
+/// Obtains the newest accepted configuration for this entry and distributes it
+/// to others.
 ///
-/// Three ways lead here: the accepting entry pushes the head, each heartbeat
-/// carries the version so that whoever is behind pulls, and a few entries per
-/// data centre watch the platform. The first two need no platform.
+/// There are three ways: the entry that accepts a change pushes the head, each
+/// heartbeat carries the version so that entries with an older one pull, and a
+/// few entries per data centre watch the platform. The first two work without
+/// the platform.
 class ConfigSpread {
  public:
   struct Options {
-    /// Entries of a data centre that hold a watch; each waiting watch counts as
-    /// a call on the platform.
+    /// Entries of a data centre that watch the platform; each waiting watch
+    /// counts as a call on the platform.
     size_t watchers_per_data_centre = 2;
     std::chrono::milliseconds watch_wait = std::chrono::seconds(20);
-    /// Without a watch the head is still read now and then.
+    /// Interval at which the head is read without a watch.
     Duration poll_period = std::chrono::seconds(60);
     Duration retry_period = std::chrono::seconds(1);
-    /// How long a peer may take to send shards before others are asked.
+    /// How long a peer may take to send shards before they are read from the
+    /// platform.
     Duration pull_timeout = std::chrono::milliseconds(500);
   };
 
@@ -42,17 +45,17 @@
                PlatformPort& port,
                Outbox& outbox);
 
-  /// Reads the platform at once.
+  /// Reads the head from the platform at once.
   void Start();
   void Tick();
 
   void OnHead(LinkId link, const ConfigHeadNotice& notice);
   void OnPull(LinkId link, const ConfigPull& pull);
   void OnShards(const ConfigShards& shards);
-  /// A heartbeat on a link that this entry opened.
+  /// Handles the version in a heartbeat on a link that this entry opened.
   void OnPeerVersion(LinkId link, uint64_t version);
 
-  /// Sends a head to every linked entry; the accepting entry does.
+  /// Sends a head to every linked entry; called at the entry that accepted it.
   void PushHead(const ConfigHead& head);
 
  private:
@@ -60,7 +63,7 @@
   void ReadPlatform();
   void OnPlatformHead(const PlatformReply& reply);
   void OfferFrom(std::optional<LinkId> link, const ConfigHead& head);
-  void FetchMissing();
+  void FetchMissingShards();
   void FetchFromPlatform();
 
   Options options_;
--- a/lavenderkeel/config/config_store.cc
+++ b/lavenderkeel/config/config_store.cc
@@ -7,9 +7,9 @@
 namespace lavenderkeel {
 
 bool ConfigStore::Offer(const ConfigHead& head) {
-  // Failure: an older head arrives late, from a slow peer or a stale read of
-  // the platform. Symptom: an accepted change reverts. Versions are given out
-  // by one conditional update each, so "only higher" is enough.
+  // An older head may arrive late, from a slow peer or a stale read of the
+  // platform, and would revert an accepted change. Each version is assigned by
+  // one conditional update, so it suffices to accept only higher versions.
   const uint64_t known =
       std::max(version(), offered_.has_value() ? offered_->version : 0);
   if (head.version <= known) {
@@ -24,7 +24,7 @@
   if (!offered_.has_value() || ContentName(body) != name) {
     return;
   }
-  const std::vector<std::string> missing = Missing();
+  const std::vector<std::string> missing = MissingShards();
   if (std::ranges::find(missing, name) == missing.end()) {
     return;
   }
@@ -44,12 +44,12 @@
   TryActivate();
 }
 
-std::vector<std::string> ConfigStore::Missing() const {
+std::vector<std::string> ConfigStore::MissingShards() const {
   std::vector<std::string> missing;
   if (!offered_.has_value()) {
     return missing;
   }
-  for (const std::string& name : offered_->Shards()) {
+  for (const std::string& name : offered_->ShardNames()) {
     if (!shards_.contains(name)) {
       missing.push_back(name);
     }
@@ -75,10 +75,10 @@
 }
 
 void ConfigStore::TryActivate() {
-  if (!offered_.has_value() || !Missing().empty()) {
+  if (!offered_.has_value() || !MissingShards().empty()) {
     return;
   }
-  auto built = Catch([this] { return Build(); });
+  auto built = Catch([this] { return BuildConfig(); });
   if (!built) {
     log_.Warn("config_unusable", {{"version", offered_->version},
                                   {"reason", built.failure.message}});
@@ -87,14 +87,14 @@
   }
   current_ = *std::move(built.value);
   offered_.reset();
-  DropUnused();
+  DropUnusedShards();
   log_.Info("config_in_force", {{"version", current_->version()},
                                 {"preset", current_->head().preset},
                                 {"teams", current_->team_count()}});
   signal_activated_.emit();
 }
 
-leaf::result<std::shared_ptr<const Config>> ConfigStore::Build() const {
+leaf::result<std::shared_ptr<const Config>> ConfigStore::BuildConfig() const {
   const auto base = shards_.at(offered_->base).base;
   if (base == nullptr ||
       std::ranges::find(base->presets, offered_->preset, &Preset::name) ==
@@ -114,8 +114,8 @@
   return std::make_shared<const Config>(*offered_, base, std::move(teams));
 }
 
-void ConfigStore::DropUnused() {
-  const std::vector<std::string> names = current_->head().Shards();
+void ConfigStore::DropUnusedShards() {
+  const std::vector<std::string> names = current_->head().ShardNames();
   const std::set<std::string> used(names.begin(), names.end());
   std::erase_if(shards_,
                 [&](const auto& item) { return !used.contains(item.first); });
--- a/lavenderkeel/config/config_store.h
+++ b/lavenderkeel/config/config_store.h
@@ -16,7 +16,7 @@
 
 namespace lavenderkeel {
 
-/// The configuration in force here, and the shards of the next one.
+/// The configuration in force at this entry, and the shards of the next one.
 class ConfigStore {
  public:
   explicit ConfigStore(const EventLog& log) : log_(log) {}
@@ -25,30 +25,31 @@
   const std::shared_ptr<const Config>& current() const { return current_; }
   uint64_t version() const { return current_ ? current_->version() : 0; }
 
-  /// Takes a head; it comes into force once its shards are all here.
+  /// Takes a head, which comes into force once all its shards are available.
   /// @return false if it is not newer than what is known
   bool Offer(const ConfigHead& head);
 
-  /// Takes a shard that the offered head names; any other is ignored, so that
-  /// a peer can't fill the memory.
+  /// Takes a shard that the offered head names; any other is ignored, so that a
+  /// peer cannot fill the memory.
   void AddShard(const std::string& name, const std::string& body);
 
-  /// Shards of the offered head that are not here yet.
-  std::vector<std::string> Missing() const;
+  /// Returns the names of the shards of the offered head that are not available
+  /// yet.
+  std::vector<std::string> MissingShards() const;
 
-  /// The body of a shard in force, or null.
+  /// Returns the body of a shard in force, or null.
   const std::string* FindShard(const std::string& name) const;
 
-  /// The whole document in force.
+  /// Returns the whole document in force.
   std::optional<ConfigDocument> Document() const;
 
-  /// A higher version came into force.
+  /// Emitted when a higher version comes into force.
   sigc::signal<void()>& signal_activated() { return signal_activated_; }
 
  private:
   void TryActivate();
-  leaf::result<std::shared_ptr<const Config>> Build() const;
-  void DropUnused();
+  leaf::result<std::shared_ptr<const Config>> BuildConfig() const;
+  void DropUnusedShards();
 
   struct Shard {
     std::string body;
--- a/lavenderkeel/config/json_reader.cc
+++ b/lavenderkeel/config/json_reader.cc
@@ -54,7 +54,7 @@
 }
 
 const json::value* JsonReader::Raw(const std::string& name) {
-  asked_.insert(name);
+  read_fields_.insert(name);
   return object_ == nullptr ? nullptr : object_->if_contains(name);
 }
 
@@ -191,7 +191,7 @@
   }
   for (const auto& field : *object_) {
     const std::string name(field.key());
-    if (!asked_.contains(name)) {
+    if (!read_fields_.contains(name)) {
       Fault(name, "is not known");
     }
   }
--- a/lavenderkeel/config/json_reader.h
+++ b/lavenderkeel/config/json_reader.h
@@ -13,18 +13,18 @@
 
 namespace lavenderkeel {
 
-/// Faults of a document, each "JSON path: what is wrong".
+/// Faults of a document, each in the form "JSON path: description".
 using Faults = std::vector<std::string>;
 
 std::string JoinFaults(const Faults& faults);
 
-/// A Failure of that code with all faults, if there are any.
+/// Returns a Failure with that code and all faults, if there are any.
 leaf::result<void> CheckFaults(const Faults& faults, ResultCode code);
 
-/// kMalformedJson with the position of the fault.
+/// Parses JSON text; fails with kMalformedJson and the position of the fault.
 leaf::result<boost::json::value> ParseJson(const std::string& text);
 
-/// Reads one JSON object and notes each fault with its path, so that an
+/// Reads one JSON object and records each fault with its path, so that an
 /// operator sees all of them at once.
 class JsonReader {
  public:
@@ -51,21 +51,21 @@
     return String(name, StringRule());
   }
   uint64_t Number(const std::string& name, const NumberRule& rule);
-  /// A number above 0.
+  /// Reads a number above 0.
   double Real(const std::string& name, double otherwise);
-  /// A number of at least 0.
+  /// Reads a number of at least 0.
   double NonNegative(const std::string& name, double otherwise);
   bool Bool(const std::string& name, bool otherwise);
   std::vector<std::string> Strings(const std::string& name);
   void Array(const std::string& name, const ReadItem& read);
-  /// An object whose field names are free.
+  /// Reads an object with arbitrary field names.
   void Fields(const std::string& name, const ReadField& read);
   bool Has(const std::string& name);
-  /// A field as it is, null if it is missing.
+  /// Returns a field without conversion, or null if it is missing.
   const boost::json::value* Raw(const std::string& name);
   void Fault(const std::string& name, const std::string& what);
-  /// Notes every field that nothing asked for: a misspelt setting must not
-  /// pass as its default.
+  /// Records a fault for every field that was not read: a misspelt setting must
+  /// not silently take its default.
   void RejectUnknown();
   std::string PathOf(const std::string& name) const;
 
@@ -73,7 +73,7 @@
   const boost::json::object* object_ = nullptr;
   std::string path_;
   Faults& faults_;
-  std::set<std::string> asked_;
+  std::set<std::string> read_fields_;
 };
 
 }  // namespace lavenderkeel
--- a/lavenderkeel/config/sha256.h
+++ b/lavenderkeel/config/sha256.h
@@ -6,7 +6,7 @@
 
 namespace lavenderkeel {
 
-/// SHA-256 as 64 lower-case hexadecimal digits.
+/// Returns the SHA-256 hash as 64 lower-case hexadecimal digits.
 std::string Sha256Hex(std::string_view bytes);
 
 }  // namespace lavenderkeel
